--- a/src/cedarchute/border/answers.py
+++ b/src/cedarchute/border/answers.py
@@ -120,7 +120,7 @@
         "parent": opened.parent,
         "state": "ended" if program.ended else "open",
         "reason": program.ended.reason if program.ended else None,
-        "takeovers": program.takeovers,
+        "takeovers": program.takeover_count,
         "budget": {
             "tokens": opened.budget.tokens,
             "tokens_used": program.used_tokens,
--- a/src/cedarchute/border/caller_app.py
+++ b/src/cedarchute/border/caller_app.py
@@ -36,7 +36,7 @@
     from cedarchute.membership.view import View
     from cedarchute.metrics import Metrics
     from cedarchute.programs.call_runner import CallRunner
-    from cedarchute.programs.home import ProgramHome
+    from cedarchute.programs.program_registry import ProgramRegistry
     from cedarchute.settings.box_settings import ServingSection
 
 KEY_PATTERN: Final = re.compile(r"^[A-Za-z0-9._-]{1,128}$")
@@ -53,7 +53,7 @@
         follower: HomeFollower,
         forwarder: Forwarder,
         runner: CallRunner,
-        home: ProgramHome,
+        home: ProgramRegistry,
         view: View,
         keeper: LeaseKeeper,
         settings: ServingSection,
--- a/src/cedarchute/border/home_follower.py
+++ b/src/cedarchute/border/home_follower.py
@@ -11,7 +11,7 @@
 from cedarchute.border.reroute_error import RerouteError
 from cedarchute.copies.owned_partition import PartitionMovedError
 from cedarchute.problem import Problem
-from cedarchute.programs.home import RECOVERING
+from cedarchute.programs.program_registry import RECOVERING_CODE
 from cedarchute.verdict import Verdict
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
                 if location.box is not None:
                     return there(location.box)
             except Problem as problem:
-                if problem.code != RECOVERING:
+                if problem.code != RECOVERING_CODE:
                     raise
                 recovering = problem
             except PartitionMovedError:
--- a/src/cedarchute/border/run_finder.py
+++ b/src/cedarchute/border/run_finder.py
@@ -11,13 +11,13 @@
     from cedarchute.border.call_exchange import CallExchange
     from cedarchute.programs.call_run import CallRun
     from cedarchute.programs.call_runner import CallRunner
-    from cedarchute.programs.home import ProgramHome
+    from cedarchute.programs.program_registry import ProgramRegistry
 
 
 class RunFinder:
     """Starts the run of a new call, and finds that of a known key."""
 
-    def __init__(self, home: ProgramHome, runner: CallRunner) -> None:
+    def __init__(self, home: ProgramRegistry, runner: CallRunner) -> None:
         self.home = home
         self.runner = runner
 
@@ -30,7 +30,7 @@
         if run is None:
             # The home before may have run a call that may be repeated: of these it
             # kept no record before the outcome.
-            may_have_run = program.takeovers > 0
+            may_have_run = program.takeover_count > 0
             raise Problem(
                 "unknown_key",
                 f"No call has the key {exchange.key}.",
--- a/src/cedarchute/calls/attempts.py
+++ b/src/cedarchute/calls/attempts.py
@@ -15,8 +15,8 @@
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.calls.target_exchange import OpenAnswer, TargetExchange
-    from cedarchute.decisions.pace_meter import PaceMeter
+    from cedarchute.calls.target_client import OpenResponse, TargetClient
+    from cedarchute.decisions.slowdown_meter import SlowdownMeter
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.routing.route import Route
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        exchange: TargetExchange,
+        exchange: TargetClient,
         metrics: Metrics,
         request: CallerRequest,
         call: Call,
@@ -54,7 +54,7 @@
         service: str,
         body: bytes,
         preferred: str = "",
-        meter: PaceMeter | None = None,
+        meter: SlowdownMeter | None = None,
     ) -> None:
         self.exchange = exchange
         self.metrics = metrics
@@ -68,13 +68,13 @@
         self.tried: set[str] = set()
         self.runs = 0
         self.until = request.read_at + route.timeout_seconds
-        if call.patience_seconds is not None:
-            patience = request.read_at + call.patience_seconds
+        if call.caller_timeout_seconds is not None:
+            patience = request.read_at + call.caller_timeout_seconds
             self.until = min(self.until, patience)
         full_seconds = FULL_SHARE * route.objective_seconds
         self.full_until = time.monotonic() + full_seconds
 
-    def open(self) -> OpenAnswer:
+    def open(self) -> OpenResponse:
         """Return the first answer of a target that took the call.
 
         Raises
@@ -90,8 +90,8 @@
                 extra={
                     "target": target.id,
                     "service": self.service,
-                    "active": self.exchange.choice.loads[target.start].active,
-                    "preferred": target.start == self.preferred,
+                    "active": self.exchange.choice.loads[target.incarnation].active,
+                    "preferred": target.incarnation == self.preferred,
                     "ms_left": round((self.until - time.monotonic()) * 1000),
                 },
             )
@@ -105,11 +105,11 @@
             self.runs += 1
             return opened
 
-    def send(self, target: TargetEntry) -> OpenAnswer:
+    def send(self, target: TargetEntry) -> OpenResponse:
         """Send the call; its wait for an answer counts as soon as it is long."""
         wait = None
         if self.meter is not None:
-            wait = self.meter.begin_wait(target.start, time.monotonic())
+            wait = self.meter.begin_wait(target.incarnation, time.monotonic())
         try:
             return self.exchange.open(
                 self.request,
@@ -130,7 +130,9 @@
         if self.runs + 1 >= self.route.max_targets:
             return self.until
         seconds = SILENT_OBJECTIVES * self.route.objective_seconds
-        usual = self.exchange.choice.loads[target.start].seconds or 0.0
+        usual = (
+            self.exchange.choice.loads[target.incarnation].mean_latency_seconds or 0.0
+        )
         patience = max(seconds, SILENT_MEANS * usual)
         return min(self.until, time.monotonic() + patience)
 
@@ -140,7 +142,7 @@
             if time.monotonic() >= self.until:
                 raise self.give_up("no time left")
             choice = self.exchange.choice
-            target = choice.choose(self.service, self.tried, self.preferred)
+            target = choice.select_target(self.service, self.tried, self.preferred)
             if target is not None:
                 return target
             if time.monotonic() >= self.full_until:
--- a/src/cedarchute/calls/call.py
+++ b/src/cedarchute/calls/call.py
@@ -8,10 +8,10 @@
 from cedarchute.turns.program_key import make_program_key
 
 if TYPE_CHECKING:
-    from cedarchute.calls.permit import Permit
+    from cedarchute.calls.caller_identity import CallerIdentity
 
 
-class ProgramTerms(Record):
+class ProgramContext(Record):
     """What a call says of the program that it belongs to.
 
     Attributes
@@ -28,9 +28,9 @@
 
     program: str
     budget: int | None
-    previous: str
-    most_tokens: int
-    aim_seconds: float | None = None
+    previous_turn: str
+    max_tokens: int
+    soft_deadline_seconds: float | None = None
 
 
 class Call(Record):
@@ -47,16 +47,16 @@
     """
 
     id: str
-    patience_seconds: float | None
-    program: ProgramTerms
-    permit: Permit | None = None
+    caller_timeout_seconds: float | None
+    program: ProgramContext
+    caller_identity: CallerIdentity | None = None
 
     @property
     def workspace(self) -> str:
         """The name of the workspace whose call it is, empty when it is nobody's."""
-        if self.permit is None or self.permit.workspace is None:
+        if self.caller_identity is None or self.caller_identity.workspace is None:
             return ""
-        return self.permit.workspace.name
+        return self.caller_identity.workspace.name
 
     @property
     def program_key(self) -> str:
@@ -67,4 +67,4 @@
     @property
     def begins_program(self) -> bool:
         """Whether it is the first of a program, as far as the call itself tells."""
-        return self.program.most_tokens > 0 and not self.program.previous
+        return self.program.max_tokens > 0 and not self.program.previous_turn
--- a/src/cedarchute/calls/call_desk.py
+++ b/src/cedarchute/calls/call_dispatcher.py
@@ -21,14 +21,14 @@
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.calls.key_check import KeyCheck
-    from cedarchute.calls.plain_call import PlainCall
+    from cedarchute.calls.key_authenticator import KeyAuthenticator
+    from cedarchute.calls.plain_call_handler import PlainCallHandler
     from cedarchute.calls.quota_check import QuotaCheck
-    from cedarchute.calls.turn_call import TurnCall
+    from cedarchute.calls.stream_call_handler import StreamCallHandler
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.relay.reply_writer import ReplyWriter
-    from cedarchute.routing.route_book import RouteBook
+    from cedarchute.routing.active_route_table import ActiveRouteTable
 
 log = logging.getLogger("cedarchute.calls")
 
@@ -38,16 +38,16 @@
 NO_CONFIGURATION_RETRY_SECONDS = 0.3
 
 
-class CallDesk:
+class CallDispatcher:
     """Routes calls; whatever happens, each gets one final answer."""
 
     def __init__(
         self,
-        routes: RouteBook,
-        keys: KeyCheck,
+        routes: ActiveRouteTable,
+        keys: KeyAuthenticator,
         quota: QuotaCheck,
-        plain: PlainCall,
-        turns: TurnCall,
+        plain: PlainCallHandler,
+        turns: StreamCallHandler,
         metrics: Metrics,
     ) -> None:
         self.routes = routes
@@ -86,7 +86,9 @@
         route = table.find(request.host, request.path)
         if route is None:
             raise CallRefusedError(404, "no route", facts=self.keys.tell_proof())
-        call = replace(call, permit=self.keys.identify(request, call, route, table))
+        call = replace(
+            call, caller_identity=self.keys.identify(request, call, route, table)
+        )
         self.quota.check(call, self.routes.version)
         if route.is_stream:
             self.turns.run(request, writer, call, route)
--- a/src/cedarchute/calls/permit.py
+++ b/src/cedarchute/calls/caller_identity.py
@@ -10,7 +10,7 @@
     from cedarchute.routing.workspace import Workspace
 
 
-class Permit(Record):
+class CallerIdentity(Record):
     """The workspace that a caller's key belongs to.
 
     Attributes
--- a/src/cedarchute/calls/key_check.py
+++ b/src/cedarchute/calls/key_authenticator.py
@@ -5,18 +5,18 @@
 from typing import TYPE_CHECKING, Final, Protocol
 
 from cedarchute.calls.call_errors import CallRefusedError
-from cedarchute.calls.permit import Permit
-from cedarchute.decisions.key_trust import tell_age
+from cedarchute.calls.caller_identity import CallerIdentity
+from cedarchute.decisions.proof_age_limit import cap_age
 from cedarchute.platform.call_headers import read_key
 from cedarchute.routing.workspace_keys import digest_key
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.decisions.key_trust import KeyTrust
+    from cedarchute.decisions.proof_age_limit import ProofAgeLimit
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
+    from cedarchute.routing.active_route_table import ActiveRouteTable
     from cedarchute.routing.route import Route
-    from cedarchute.routing.route_book import RouteBook
     from cedarchute.routing.route_table import RouteTable
     from cedarchute.routing.workspace import Workspace
 
@@ -32,7 +32,7 @@
 RETRY_PATIENCE_SHARE: Final = 0.3
 
 
-class ProofSource(Protocol):
+class FreshnessSource(Protocol):
     """Says since when this box's configuration may be out of date."""
 
     @property
@@ -41,7 +41,7 @@
         ...
 
     @property
-    def is_store_away(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether other boxes answer, and know nothing newer either."""
         ...
 
@@ -50,11 +50,15 @@
         ...
 
 
-class KeyCheck:
+class KeyAuthenticator:
     """Answers 401 for a key that is nobody's, and 503 when this box can't be sure."""
 
     def __init__(
-        self, routes: RouteBook, trust: KeyTrust, proof: ProofSource, metrics: Metrics
+        self,
+        routes: ActiveRouteTable,
+        trust: ProofAgeLimit,
+        proof: FreshnessSource,
+        metrics: Metrics,
     ) -> None:
         self.routes = routes
         self.trust = trust
@@ -71,16 +75,16 @@
     @property
     def is_proven(self) -> bool:
         """Whether this box may go by the keys that it knows."""
-        return self.trust.covers(self.proof.age_seconds)
+        return self.trust.accepts(self.proof.age_seconds)
 
     @property
-    def lacks_proof(self) -> bool:
+    def is_configuration_stale(self) -> bool:
         """Whether callers with keys are served better elsewhere."""
         return self.needs_proof and not self.is_proven
 
     def identify(
         self, request: CallerRequest, call: Call, route: Route, table: RouteTable
-    ) -> Permit | None:
+    ) -> CallerIdentity | None:
         """Return whose a call is; None where workspaces hold no keys.
 
         Raises
@@ -94,20 +98,20 @@
         digest = digest_key(key) if key else b""
         if route.is_public:
             workspace = table.keys.find(digest) if self.is_proven else None
-            return Permit(workspace, digest)
+            return CallerIdentity(workspace, digest)
         if not key:
             raise self.refuse(401, "no usable key")
         if not self.is_proven:
             self.proof.refresh(PROOF_SECONDS)
-        return Permit(self.find_workspace(digest, call), digest)
+        return CallerIdentity(self.find_workspace(digest, call), digest)
 
     def confirm(self, call: Call) -> None:
         """Check once more, right before a call is sent: it may have waited long."""
-        permit = call.permit
-        if permit is None or permit.workspace is None:
+        caller_identity = call.caller_identity
+        if caller_identity is None or caller_identity.workspace is None:
             return
-        found = self.find_workspace(permit.digest, call)
-        if found.name != permit.workspace.name:
+        found = self.find_workspace(caller_identity.digest, call)
+        if found.name != caller_identity.workspace.name:
             raise self.refuse(401, "the key went to another workspace")
 
     def find_workspace(self, digest: bytes, call: Call) -> Workspace:
@@ -123,11 +127,11 @@
 
     def find_retry_seconds(self, call: Call) -> float:
         """Return when a caller should ask again for want of a proof here."""
-        if not self.proof.is_store_away:
+        if not self.proof.is_store_unavailable:
             return RETRY_AFTER_SECONDS
-        if call.patience_seconds is None:
+        if call.caller_timeout_seconds is None:
             return STORE_AWAY_RETRY_SECONDS
-        longest = RETRY_PATIENCE_SHARE * call.patience_seconds
+        longest = RETRY_PATIENCE_SHARE * call.caller_timeout_seconds
         return min(STORE_AWAY_RETRY_SECONDS, longest)
 
     def refuse(
@@ -140,4 +144,4 @@
 
     def tell_proof(self) -> dict[str, float]:
         """Return how old this box's knowledge is, for a line about a refusal."""
-        return {"proof_age": tell_age(self.proof.age_seconds)}
+        return {"proof_age": cap_age(self.proof.age_seconds)}
--- a/src/cedarchute/calls/plain_call.py
+++ b/src/cedarchute/calls/plain_call_handler.py
@@ -5,27 +5,27 @@
 from typing import TYPE_CHECKING
 
 from cedarchute.calls.attempts import Attempts
-from cedarchute.calls.target_exchange import SERVER_ERROR
+from cedarchute.calls.target_client import SERVER_ERROR
 from cedarchute.relay.target_failure import TargetFailureError
 from cedarchute.routing.route import Repeatability
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.calls.target_exchange import OpenAnswer, TargetExchange
+    from cedarchute.calls.target_client import OpenResponse, TargetClient
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.relay.reply_writer import ReplyWriter
     from cedarchute.routing.route import Route
 
 
-class PlainCall:
+class PlainCallHandler:
     """Relays calls of plain services: no hop and no record.
 
     The box that holds the caller's connection sees alone to it that a call which
     may not be repeated is sent at most once.
     """
 
-    def __init__(self, exchange: TargetExchange, metrics: Metrics) -> None:
+    def __init__(self, exchange: TargetClient, metrics: Metrics) -> None:
         self.exchange = exchange
         self.metrics = metrics
 
@@ -33,7 +33,7 @@
         self, request: CallerRequest, writer: ReplyWriter, call: Call, route: Route
     ) -> None:
         """Answer one call; raise `CallRefusedError` when it is given up."""
-        service = self.exchange.choice.choose_service(route)
+        service = self.exchange.choice.select_service(route)
         attempts = Attempts(
             self.exchange, self.metrics, request, call, route, service, request.body
         )
@@ -50,7 +50,7 @@
             writer.write_whole(answer.status, headers, body)
             return
 
-    def read_body(self, attempts: Attempts, opened: OpenAnswer) -> bytes | None:
+    def read_body(self, attempts: Attempts, opened: OpenResponse) -> bytes | None:
         """Return the whole body, or None when another target is to be tried."""
         finished = False
         try:
@@ -74,4 +74,4 @@
         if attempts.runs >= route.max_targets:
             return False
         choice = self.exchange.choice
-        return choice.choose(attempts.service, attempts.tried) is not None
+        return choice.select_target(attempts.service, attempts.tried) is not None
--- a/src/cedarchute/calls/program_gate.py
+++ b/src/cedarchute/calls/program_admission_controller.py
@@ -9,23 +9,23 @@
 from typing import TYPE_CHECKING, Final
 
 from cedarchute.calls.call_errors import CallRefusedError
-from cedarchute.decisions.aim_use import AimUse
-from cedarchute.decisions.pace_meter import PaceMeter
+from cedarchute.decisions.deadline_usage import DeadlineUsage
 from cedarchute.decisions.program_admission import (
-    STRAINED_SLOWDOWN,
+    MIN_SHEDDING_SLOWDOWN,
     AdmissionDecision,
     AdmissionInputs,
+    compute_shedding_hash,
     decide_admission,
-    find_standing,
 )
+from cedarchute.decisions.slowdown_meter import SlowdownMeter
 from cedarchute.turns.holder_fanout import NoQuorumError
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
     from cedarchute.metrics import Metrics
+    from cedarchute.routing.active_route_table import ActiveRouteTable
     from cedarchute.routing.route import Route
-    from cedarchute.routing.route_book import RouteBook
-    from cedarchute.turns.turn_admission import ProgramStanding
+    from cedarchute.turns.turn_admission import ProgramUsage
     from cedarchute.turns.turn_quorum import TurnQuorum
 
 log = logging.getLogger("cedarchute.calls")
@@ -34,20 +34,20 @@
 MOST_KNOWN: Final = 4096
 
 
-class ProgramGate:
+class ProgramAdmissionController:
     """Keeps what decides on new programs, by service; programs under way pass."""
 
     def __init__(
         self,
         quorum: TurnQuorum,
-        routes: RouteBook,
+        routes: ActiveRouteTable,
         metrics: Metrics,
     ) -> None:
         self.quorum = quorum
         self.routes = routes
         self.metrics = metrics
-        self.meters: defaultdict[str, PaceMeter] = defaultdict(PaceMeter)
-        self.uses: defaultdict[str, AimUse] = defaultdict(AimUse)
+        self.meters: defaultdict[str, SlowdownMeter] = defaultdict(SlowdownMeter)
+        self.uses: defaultdict[str, DeadlineUsage] = defaultdict(DeadlineUsage)
         self.known: OrderedDict[str, None] = OrderedDict()
 
     def check(self, call: Call, route: Route, service: str) -> None:
@@ -60,11 +60,11 @@
         """
         terms = call.program
         program = call.program_key
-        if terms.previous or program in self.known:
+        if terms.previous_turn or program in self.known:
             return
         slowdown = self.meters[service].measure_slowdown(time.monotonic())
         waited = 0.0
-        if slowdown >= STRAINED_SLOWDOWN and program:
+        if slowdown >= MIN_SHEDDING_SLOWDOWN and program:
             standing = self.read_standing(program)
             if standing is None or standing.spent:
                 self.note_known(program)
@@ -72,10 +72,10 @@
             waited = standing.age_seconds or 0.0
         inputs = AdmissionInputs(
             slowdown=slowdown,
-            usual_use=self.uses[route.name].share,
-            ranks_behind=self.count_ranks_behind(call, route),
-            standing=find_standing(program or call.id),
-            aim_seconds=terms.aim_seconds,
+            typical_deadline_usage=self.uses[route.name].share,
+            lower_ranks=self.count_ranks_behind(call, route),
+            shedding_hash=compute_shedding_hash(program or call.id),
+            soft_deadline_seconds=terms.soft_deadline_seconds,
             waited_seconds=waited,
         )
         decision = decide_admission(inputs)
@@ -86,10 +86,10 @@
         self.metrics.count_refusal("overload")
         raise CallRefusedError(503, "overload", decision.retry_after_seconds)
 
-    def read_standing(self, program: str) -> ProgramStanding | None:
+    def read_standing(self, program: str) -> ProgramUsage | None:
         """Return what holders know of a program, or None when they don't answer."""
         try:
-            return self.quorum.read_standing(program)
+            return self.quorum.read_usage(program)
         except NoQuorumError as error:
             # Booking the call asks the same holders, and says so if they are away.
             log.info("Holders don't tell of a program.", extra={"why": str(error)})
@@ -117,10 +117,14 @@
         table = self.routes.table
         routes = table.routes if table else ()
         route_ranks = {r.rank for r in routes if r.is_stream}
-        permit = call.permit
-        if permit is None or permit.workspace is None or table.keys is None:
+        caller_identity = call.caller_identity
+        if (
+            caller_identity is None
+            or caller_identity.workspace is None
+            or table.keys is None
+        ):
             return len([rank for rank in route_ranks if rank > route.rank])
-        own = (permit.workspace.rank, route.rank)
+        own = (caller_identity.workspace.rank, route.rank)
         workspaces = table.keys.ranks
         return len([1 for pair in product(workspaces, route_ranks) if pair > own])
 
@@ -143,12 +147,12 @@
             "program": program,
             "service": service,
             "slowdown": round(inputs.slowdown, 2),
-            "usual_use": round(inputs.usual_use, 2),
-            "expected_use": round(inputs.expected_use, 2),
-            "aim_seconds": inputs.aim_seconds,
+            "usual_use": round(inputs.typical_deadline_usage, 2),
+            "expected_use": round(inputs.expected_deadline_usage, 2),
+            "aim_seconds": inputs.soft_deadline_seconds,
             "waited_seconds": round(inputs.waited_seconds, 2),
-            "ranks_behind": inputs.ranks_behind,
-            "standing": round(inputs.standing, 2),
+            "ranks_behind": inputs.lower_ranks,
+            "standing": round(inputs.shedding_hash, 2),
             "refused_share": round(decision.refused_share, 2),
             "retry_after": round(decision.retry_after_seconds, 2),
         },
--- a/src/cedarchute/calls/quota_check.py
+++ b/src/cedarchute/calls/quota_check.py
@@ -8,8 +8,8 @@
 import eventlet
 
 from cedarchute.calls.call_errors import CallRefusedError
-from cedarchute.decisions.quota_share import MOST_WAIT_SECONDS, QuotaLimit
-from cedarchute.turns.quota_client import NoKeeperError
+from cedarchute.decisions.quota_share import MAX_WAIT_SECONDS, QuotaLimit
+from cedarchute.turns.quota_client import NoQuotaServerError
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
@@ -30,9 +30,9 @@
 
 def find_patience(call: Call) -> float:
     """Return how long a call may wait for its workspace's limit."""
-    if call.patience_seconds is None:
-        return MOST_WAIT_SECONDS
-    return min(MOST_WAIT_SECONDS, PATIENCE_SHARE * call.patience_seconds)
+    if call.caller_timeout_seconds is None:
+        return MAX_WAIT_SECONDS
+    return min(MAX_WAIT_SECONDS, PATIENCE_SHARE * call.caller_timeout_seconds)
 
 
 class QuotaCheck:
@@ -56,7 +56,7 @@
         CallRefusedError
             429 beyond the limit, 503 when that can't be told; nothing ran.
         """
-        workspace = call.permit.workspace if call.permit else None
+        workspace = call.caller_identity.workspace if call.caller_identity else None
         if workspace is None or not workspace.is_limited:
             return
         limit = QuotaLimit(version, workspace.calls_per_second, workspace.burst)
@@ -64,7 +64,7 @@
         patience = find_patience(call)
         try:
             grant = self.client.ask(workspace.name, limit, begins, patience)
-        except NoKeeperError as error:
+        except NoQuotaServerError as error:
             self.metrics.count_refusal("no_quota_keeper")
             facts = {"workspace": workspace.name}
             wait = NO_KEEPER_RETRY_SECONDS
--- a/src/cedarchute/calls/turn_call.py
+++ b/src/cedarchute/calls/stream_call_handler.py
@@ -19,13 +19,13 @@
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.calls.program_gate import ProgramGate
-    from cedarchute.calls.target_exchange import OpenAnswer, TargetExchange
+    from cedarchute.calls.program_admission_controller import ProgramAdmissionController
+    from cedarchute.calls.target_client import OpenResponse, TargetClient
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.relay.reply_writer import ReplyWriter
+    from cedarchute.routing.active_route_table import ActiveRouteTable
     from cedarchute.routing.route import Route
-    from cedarchute.routing.route_book import RouteBook
     from cedarchute.turns.turn_quorum import TurnQuorum
 
 log = logging.getLogger("cedarchute.calls")
@@ -34,7 +34,7 @@
 RETRY_AFTER_SECONDS = 0.25
 
 
-class TurnCall:
+class StreamCallHandler:
     """Relays streams: turns are kept, and budgets hold on whatever route.
 
     A call that names a budget is booked at the holders of its program also where
@@ -44,10 +44,10 @@
 
     def __init__(
         self,
-        exchange: TargetExchange,
+        exchange: TargetClient,
         quorum: TurnQuorum,
-        routes: RouteBook,
-        gate: ProgramGate,
+        routes: ActiveRouteTable,
+        gate: ProgramAdmissionController,
         metrics: Metrics,
     ) -> None:
         self.gate = gate
@@ -60,9 +60,9 @@
         self, request: CallerRequest, writer: ReplyWriter, call: Call, route: Route
     ) -> None:
         """Answer one call; raise `CallRefusedError` when it is given up."""
-        service = self.exchange.choice.choose_service(route)
+        service = self.exchange.choice.select_service(route)
         self.gate.check(call, route, service)
-        is_booked = route.keeps_turns or call.program.budget is not None
+        is_booked = route.retains_turns or call.program.budget is not None
         admission = self.admit(call) if is_booked else TurnAdmission(b"", "")
         relay = TurnRelay(self, request, writer, call, route, service, admission)
         try:
@@ -76,10 +76,14 @@
         """Let the gate learn how much of its program's time a whole turn used."""
         call = relay.call
         age = admission.age_seconds
-        if age is None or call.program.aim_seconds is None or not relay.tokens:
+        if (
+            age is None
+            or call.program.soft_deadline_seconds is None
+            or not relay.tokens
+        ):
             return
         took = time.monotonic() - relay.request.read_at
-        left = max(0.0, call.program.aim_seconds - took)
+        left = max(0.0, call.program.soft_deadline_seconds - took)
         self.gate.note_end(relay.route, relay.service, age + took, left)
 
     def admit(self, call: Call) -> TurnAdmission:
@@ -91,8 +95,8 @@
             admission = self.quorum.begin(
                 call.program_key,
                 call.id,
-                terms.most_tokens,
-                terms.previous,
+                terms.max_tokens,
+                terms.previous_turn,
                 terms.budget,
             )
         except NoQuorumError as error:
@@ -108,10 +112,10 @@
             "Turn admitted.",
             extra={
                 "program": terms.program,
-                "previous": terms.previous,
+                "previous": terms.previous_turn,
                 "bytes_before": len(admission.text),
                 "ran_before_at": admission.target,
-                "reserved": terms.most_tokens,
+                "reserved": terms.max_tokens,
                 "budget": terms.budget,
                 "seats_version": self.quorum.seats.table.version,
             },
@@ -138,7 +142,7 @@
 
     def __init__(
         self,
-        desk: TurnCall,
+        desk: StreamCallHandler,
         request: CallerRequest,
         writer: ReplyWriter,
         call: Call,
@@ -188,13 +192,13 @@
         if opened.answer.status == OK:
             self.end(opened)
 
-    def relay_failure(self, opened: OpenAnswer) -> None:
+    def relay_failure(self, opened: OpenResponse) -> None:
         """Pass a target's own failure on."""
         body = self.desk.exchange.read_rest(opened)
         headers = opened.answer.headers.select_end_to_end()
         self.writer.write_whole(opened.answer.status, headers, body)
 
-    def relay_events(self, opened: OpenAnswer) -> None:
+    def relay_events(self, opened: OpenResponse) -> None:
         """Pass events on as they come, until the target's answer is whole."""
         splitter = EventSplitter()
         answer = opened.answer
@@ -213,20 +217,20 @@
             raise TargetFailureError("ended within an event", Verdict.MAY_HAVE_RUN)
 
     def record_pace(
-        self, opened: OpenAnswer, last_at: float | None, events: int
+        self, opened: OpenResponse, last_at: float | None, events: int
     ) -> float:
         """Take in how long these events took; return when they came."""
-        target = opened.target.start
+        target = opened.target.incarnation
         now = time.monotonic()
         if last_at is not None:
-            self.meter.record_pauses(target, now, now - last_at, events)
+            self.meter.record_event_gaps(target, now, now - last_at, events)
             return now
-        self.meter.record_first(target, now, now - opened.sent_at)
+        self.meter.record_first_event(target, now, now - opened.sent_at)
         if events > 1:
-            self.meter.record_pauses(target, now, 0.0, events - 1)
+            self.meter.record_event_gaps(target, now, 0.0, events - 1)
         return now
 
-    def pass_on(self, opened: OpenAnswer, event: bytes, event_tokens: int) -> None:
+    def pass_on(self, opened: OpenResponse, event: bytes, event_tokens: int) -> None:
         """Pass one event on."""
         if not self.writer.started:
             headers = opened.answer.headers.select_end_to_end()
@@ -237,7 +241,7 @@
             self.output.append(data + b"\n")
         self.writer.write_part(event)
 
-    def note_broken(self, opened: OpenAnswer, error: TargetFailureError) -> None:
+    def note_broken(self, opened: OpenResponse, error: TargetFailureError) -> None:
         """Give up a turn whose stream broke; it ran, so it is not tried again."""
         self.desk.exchange.note_failure(opened.target, self.call, error)
         if self.writer.started:
@@ -245,7 +249,7 @@
             raise CallRefusedError(502, error.reason)
         raise self.attempts.give_up(error.reason)
 
-    def end(self, opened: OpenAnswer) -> None:
+    def end(self, opened: OpenResponse) -> None:
         """Keep the turn, then tell the caller that it is whole.
 
         Until a quorum holds it, the next turn could not go on from it.
@@ -253,25 +257,25 @@
         if not self.writer.started:
             headers = opened.answer.headers.select_end_to_end()
             self.writer.start_stream(opened.answer.status, headers)
-        if self.route.keeps_turns:
+        if self.route.retains_turns:
             self.keep(opened)
         self.writer.end_stream()
 
-    def keep(self, opened: OpenAnswer) -> None:
+    def keep(self, opened: OpenResponse) -> None:
         """Write the turn down at a quorum."""
         terms = self.call.program
         turn = Turn(
             program=self.call.program_key,
             turn=self.call.id,
-            previous=terms.previous,
+            previous=terms.previous_turn,
             input=self.request.body,
             output=b"".join(self.output),
             tokens=self.tokens,
-            target=opened.target.start,
-            keep_seconds=self.route.keep_seconds,
+            target=opened.target.incarnation,
+            keep_seconds=self.route.retention_seconds,
         )
         try:
-            self.desk.quorum.take(turn)
+            self.desk.quorum.write(turn)
         except NoQuorumError as error:
             raise CallRefusedError(503, str(error)) from None
         self.kept = True
--- a/src/cedarchute/calls/target_exchange.py
+++ b/src/cedarchute/calls/target_client.py
@@ -17,14 +17,14 @@
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.calls.key_check import KeyCheck
-    from cedarchute.calls.permit import Permit
+    from cedarchute.calls.caller_identity import CallerIdentity
+    from cedarchute.calls.key_authenticator import KeyAuthenticator
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.relay.target_answer import TargetAnswer
     from cedarchute.relay.target_connection import TargetConnection
     from cedarchute.relay.target_pool import TargetPool
-    from cedarchute.routing.target_choice import TargetChoice
+    from cedarchute.routing.load_balancer import LoadBalancer
     from cedarchute.routing.target_entry import TargetEntry
 
 log = logging.getLogger("cedarchute.calls")
@@ -42,7 +42,7 @@
 SILENT_SECONDS = 1.5
 
 
-class OpenAnswer(MutableRecord):
+class OpenResponse(MutableRecord):
     """An answer whose head is read, on the connection that brings the rest."""
 
     target: TargetEntry
@@ -52,14 +52,14 @@
     silent_until: float
 
 
-class TargetExchange:
+class TargetClient:
     """What every call needs of targets; keeps the books on each of them."""
 
     def __init__(
         self,
         pool: TargetPool,
-        choice: TargetChoice,
-        keys: KeyCheck,
+        choice: LoadBalancer,
+        keys: KeyAuthenticator,
         metrics: Metrics,
     ) -> None:
         self.pool = pool
@@ -75,7 +75,7 @@
         body: bytes,
         until: float,
         silent_until: float,
-    ) -> OpenAnswer:
+    ) -> OpenResponse:
         """Send a call to `target` and wait for the head of its answer.
 
         Parameters
@@ -92,14 +92,16 @@
         CallRefusedError
             When its key lets nothing pass any more; this target has not run it.
         """
-        load = self.choice.loads[target.start]
+        load = self.choice.loads[target.incarnation]
         load.active += 1
         sent_at = time.monotonic()
         connection = None
         try:
             connection = self.pool.take(target.address, until - sent_at)
             seconds_left = until - time.monotonic()
-            head = build_request(request, target, body, seconds_left, call.permit)
+            head = build_request(
+                request, target, body, seconds_left, call.caller_identity
+            )
             self.keys.confirm(call)
             connection.send(head + body, until - time.monotonic())
             call_id = call.id.encode("latin-1")
@@ -110,7 +112,7 @@
                 if answer.status == ANOTHER_TARGET:
                     reason = "another target answers at its address"
                     raise TargetFailureError(reason, Verdict.NOT_RUN)
-                load.record_full(FULL_PAUSE_SECONDS)
+                load.record_overload(FULL_PAUSE_SECONDS)
                 reason = f"refused with {answer.status}"
                 raise TargetFailureError(reason, Verdict.NOT_RUN)
         except BaseException as error:
@@ -122,7 +124,7 @@
             elif time.monotonic() - sent_at > SILENT_SECONDS:
                 load.record_failure()
             raise
-        return OpenAnswer(target, connection, answer, sent_at, silent_until)
+        return OpenResponse(target, connection, answer, sent_at, silent_until)
 
     def finish_refusal(
         self, connection: TargetConnection, answer: TargetAnswer, until: float
@@ -142,7 +144,7 @@
         """Count a failure, and leave a target alone that does not answer."""
         self.metrics.count("targets.failures")
         if not error.reason.startswith("refused"):
-            self.choice.loads[target.start].record_failure()
+            self.choice.loads[target.incarnation].record_failure()
         log.info(
             "Target failed.",
             extra={
@@ -152,7 +154,7 @@
             },
         )
 
-    def read_rest(self, opened: OpenAnswer) -> bytes:
+    def read_rest(self, opened: OpenResponse) -> bytes:
         """Return the whole body of an answer."""
         answer = opened.answer
         parts = [answer.take_parts()]
@@ -161,10 +163,10 @@
             parts.append(answer.take_parts())
         return b"".join(parts)
 
-    def finish(self, opened: OpenAnswer) -> None:
+    def finish(self, opened: OpenResponse) -> None:
         """Keep the connection of an answer that was read whole."""
         seconds = time.monotonic() - opened.sent_at
-        load = self.choice.loads[opened.target.start]
+        load = self.choice.loads[opened.target.incarnation]
         load.active -= 1
         if is_own_fault(opened.answer.status):
             self.metrics.count("targets.errors")
@@ -175,9 +177,9 @@
         opened.connection.finish(opened.answer)
         self.pool.give_back(opened.connection)
 
-    def abandon(self, opened: OpenAnswer) -> None:
+    def abandon(self, opened: OpenResponse) -> None:
         """Close the connection of an answer that nobody waits for."""
-        self.choice.loads[opened.target.start].active -= 1
+        self.choice.loads[opened.target.incarnation].active -= 1
         opened.connection.close()
 
 
@@ -195,10 +197,10 @@
     target: TargetEntry,
     body: bytes,
     seconds_left: float,
-    permit: Permit | None,
+    caller_identity: CallerIdentity | None,
 ) -> bytes:
     """Return the head of a request to a target."""
-    headers = write_target_headers(request, target, seconds_left, permit)
+    headers = write_target_headers(request, target, seconds_left, caller_identity)
     line = b"%s %s HTTP/1.1\r\n" % (request.method, request.target)
     if body or request.method not in METHODS_WITHOUT_BODY:
         headers = headers.extend((b"Content-Length", b"%d" % len(body)))
--- a/src/cedarchute/daemon/border_parts.py
+++ b/src/cedarchute/daemon/border_parts.py
@@ -19,7 +19,7 @@
 from cedarchute.ownership.hand_over import HandOver
 from cedarchute.peers.heartbeat import ConfigurationRequest, Heartbeat, Suspicion
 from cedarchute.peers.peer_app import PeerApp
-from cedarchute.programs.cache_sweeper import LivesRequest
+from cedarchute.programs.cache_sweeper import LiveProgramsRequest
 
 if TYPE_CHECKING:
     import random
@@ -123,5 +123,7 @@
     )
     peers.add_message("suspect", Suspicion, programs.check.on_suspicion)
     peers.add_message("hand-over", HandOver, programs.takeover.on_hand_over)
-    peers.add_message("lives", LivesRequest, programs.sweeper.on_lives)
-    peers.add_message("borrow", BorrowRequest, scheduling.lender.on_borrow)
+    peers.add_message(
+        "lives", LiveProgramsRequest, programs.sweeper.handle_live_programs
+    )
+    peers.add_message("borrow", BorrowRequest, scheduling.lender.handle_borrow)
--- a/src/cedarchute/daemon/composition.py
+++ b/src/cedarchute/daemon/composition.py
@@ -24,7 +24,7 @@
 from cedarchute.metrics import Metrics
 from cedarchute.operators.store_repairer import StoreRepairer
 from cedarchute.platform.box_list import BoxListWatcher
-from cedarchute.targets.orders.order_keeper import OrderKeeper
+from cedarchute.targets.orders.engine_reconciler import EngineReconciler
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -119,9 +119,9 @@
     scheduling: SchedulingParts,
     clock: Clock,
     metrics: Metrics,
-) -> OrderKeeper:
+) -> EngineReconciler:
     """Return what orders targets to be as the operators' file says."""
-    return OrderKeeper(
+    return EngineReconciler(
         shared.store,
         shared.keys,
         shared.view,
--- a/src/cedarchute/daemon/entry_box.py
+++ b/src/cedarchute/daemon/entry_box.py
@@ -11,13 +11,13 @@
 import eventlet
 
 from cedarchute.address import Address
-from cedarchute.calls.call_desk import CallDesk
-from cedarchute.calls.key_check import KeyCheck
-from cedarchute.calls.plain_call import PlainCall
-from cedarchute.calls.program_gate import ProgramGate
+from cedarchute.calls.call_dispatcher import CallDispatcher
+from cedarchute.calls.key_authenticator import KeyAuthenticator
+from cedarchute.calls.plain_call_handler import PlainCallHandler
+from cedarchute.calls.program_admission_controller import ProgramAdmissionController
 from cedarchute.calls.quota_check import QuotaCheck
-from cedarchute.calls.target_exchange import TargetExchange
-from cedarchute.calls.turn_call import TurnCall
+from cedarchute.calls.stream_call_handler import StreamCallHandler
+from cedarchute.calls.target_client import TargetClient
 from cedarchute.daemon.entry_stop import EntryStop
 from cedarchute.daemon.lean_start import let_modules_in
 from cedarchute.daemon.listeners import (
@@ -28,7 +28,7 @@
 )
 from cedarchute.daemon.loop_lag import LoopLag
 from cedarchute.daemon.node_parts import NodeParts
-from cedarchute.decisions.key_trust import KeyTrust
+from cedarchute.decisions.proof_age_limit import ProofAgeLimit
 from cedarchute.fleet.box_directory import BoxDirectory
 from cedarchute.fleet.box_entry import BoxEntry, Role
 from cedarchute.fleet.holder_contact import HolderContact
@@ -40,8 +40,8 @@
 from cedarchute.relay.caller_server import CallerServer
 from cedarchute.relay.input_limits import InputLimits
 from cedarchute.relay.target_pool import TargetPool
-from cedarchute.routing.route_book import RouteBook
-from cedarchute.routing.target_choice import TargetChoice
+from cedarchute.routing.active_route_table import ActiveRouteTable
+from cedarchute.routing.load_balancer import LoadBalancer
 from cedarchute.routing.target_registry import TargetRegistry
 from cedarchute.supervisor import Supervisor
 from cedarchute.turns.holder_client import HolderClient
@@ -72,7 +72,7 @@
         self.settings = settings
         self.metrics = metrics
         self.lag = LoopLag()
-        self.routes = RouteBook(metrics)
+        self.routes = ActiveRouteTable(metrics)
         self.pool = TargetPool(metrics)
         self.supervisor = Supervisor(metrics)
         self.directory = BoxDirectory()
@@ -100,19 +100,19 @@
             metrics,
         )
         chance = random.Random()
-        self.choice = TargetChoice(
+        self.choice = LoadBalancer(
             self.registry, box.failure_domain, chance, self.pool.is_warm
         )
-        trust = KeyTrust(settings.keys.revoke_ms / 1000)
-        self.keys = KeyCheck(self.routes, trust, self.parts.prover, metrics)
-        exchange = TargetExchange(self.pool, self.choice, self.keys, metrics)
+        trust = ProofAgeLimit(settings.keys.revoke_ms / 1000)
+        self.keys = KeyAuthenticator(self.routes, trust, self.parts.prover, metrics)
+        exchange = TargetClient(self.pool, self.choice, self.keys, metrics)
         holders = HolderClient(metrics)
         quorum = TurnQuorum(self.parts.seats, holders, box.failure_domain, metrics)
-        self.gate = ProgramGate(quorum, self.routes, metrics)
-        turns = TurnCall(exchange, quorum, self.routes, self.gate, metrics)
-        plain = PlainCall(exchange, metrics)
+        self.gate = ProgramAdmissionController(quorum, self.routes, metrics)
+        turns = StreamCallHandler(exchange, quorum, self.routes, self.gate, metrics)
+        plain = PlainCallHandler(exchange, metrics)
         quota = QuotaCheck(QuotaClient(quorum.fanout, holders, box.name), metrics)
-        desk = CallDesk(self.routes, self.keys, quota, plain, turns, metrics)
+        desk = CallDispatcher(self.routes, self.keys, quota, plain, turns, metrics)
         self.server = CallerServer(
             self.listen(listen.callers, file, "callers"),
             desk.handle,
@@ -131,7 +131,7 @@
             lambda: self.lag.is_behind,
             box.failure_domain,
             box.region,
-            lambda: listen.callers if self.keys.lacks_proof else "",
+            lambda: listen.callers if self.keys.is_configuration_stale else "",
         )
         self.apps = [
             (self.listen(listen.ready, file, "ready"), directory),
@@ -152,8 +152,8 @@
     def drop_target(self, target: TargetEntry) -> None:
         """Close and forget what is kept of a target that is gone."""
         self.pool.drop(target.address)
-        self.choice.forget_gone()
-        self.gate.forget_target(target.start)
+        self.choice.prune_loads()
+        self.gate.forget_target(target.incarnation)
 
     def read_limits(self) -> InputLimits:
         """Return the bounds on callers' input that are in force."""
--- a/src/cedarchute/daemon/holder_box.py
+++ b/src/cedarchute/daemon/holder_box.py
@@ -30,16 +30,16 @@
 from cedarchute.turns.catch_up import CatchUp
 from cedarchute.turns.disk_identity import DiskIdentity
 from cedarchute.turns.evacuation import Evacuation
+from cedarchute.turns.group_commit_writer import GroupCommitWriter
 from cedarchute.turns.holder import Holder
 from cedarchute.turns.holder_app import HolderApp
 from cedarchute.turns.holder_client import HolderClient
-from cedarchute.turns.quota_keeper import QuotaKeeper
-from cedarchute.turns.seat_keeper import SeatKeeper
+from cedarchute.turns.quota_server import QuotaServer
+from cedarchute.turns.seat_manager import SeatManager
 from cedarchute.turns.seat_table import Seat
-from cedarchute.turns.seen_table import SeenTable
-from cedarchute.turns.turn_book import TurnBook
+from cedarchute.turns.seat_version_file import SeatVersionFile
 from cedarchute.turns.turn_journal import TurnJournal
-from cedarchute.turns.turn_writer import TurnWriter
+from cedarchute.turns.turn_storage import TurnStorage
 
 if TYPE_CHECKING:
     from cedarchute.metrics import Metrics
@@ -65,7 +65,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         identity = DiskIdentity.load(self.folder)
         self.journal = TurnJournal(self.folder)
-        self.book = TurnBook(TurnWriter(self.journal, metrics))
+        self.book = TurnStorage(GroupCommitWriter(self.journal, metrics))
         peers = str(settings.peers)
         me = BoxEntry(
             box.name,
@@ -90,9 +90,11 @@
         retirements = Retirements(self.parts.store)
         self.parts.mirror.followers[RETIRE] = retirements
         seats = self.parts.seats
-        self.holder = Holder(self.book, seats, identity.disk, SeenTable(self.folder))
+        self.holder = Holder(
+            self.book, seats, identity.disk, SeatVersionFile(self.folder)
+        )
         client = HolderClient(metrics)
-        self.keeper = SeatKeeper(
+        self.keeper = SeatManager(
             self.parts.store,
             seats,
             self.holder,
@@ -107,7 +109,7 @@
             client,
         )
         self.listener = open_listener(settings.peers, f"{file}: [box] peer_port")
-        quotas = QuotaKeeper(settings.quotas, SystemClock())
+        quotas = QuotaServer(settings.quotas, SystemClock())
         app = HolderApp(self.holder, quotas)
         self.app = PeerServer(self.parts.mirror, metrics, app)
         self.serve_metrics = partial(
@@ -151,7 +153,7 @@
         """Forget programs that are over, and keep the journal short."""
         while True:
             eventlet.sleep(TIDY_SECONDS)
-            self.book.drop_over()
+            self.book.drop_expired()
             if self.journal.since_compaction > COMPACT_BYTES:
                 self.compact()
 
--- a/src/cedarchute/daemon/node_parts.py
+++ b/src/cedarchute/daemon/node_parts.py
@@ -8,7 +8,7 @@
 import eventlet
 
 from cedarchute.address import Address
-from cedarchute.decisions.knowledge_age import KnowledgeAge
+from cedarchute.decisions.staleness_limits import StalenessLimits
 from cedarchute.fleet.configuration_prover import ConfigurationProver
 from cedarchute.fleet.followers import SEATS_KEY, BoxFollower, SeatFollower
 from cedarchute.fleet.reader_choice import ReaderChoice
@@ -18,7 +18,7 @@
 from cedarchute.fleet.store_reader import StoreReader
 from cedarchute.platform.keys import CONFIGURATION
 from cedarchute.platform.store_client import StoreClient
-from cedarchute.turns.seat_book import SeatBook
+from cedarchute.turns.active_seat_table import ActiveSeatTable
 
 if TYPE_CHECKING:
     from cedarchute.fleet.box_directory import BoxDirectory
@@ -48,7 +48,7 @@
     ) -> None:
         address = Address.parse(settings.platform.store)
         self.store = StoreClient(address, metrics, STORE_SECONDS)
-        self.seats = SeatBook()
+        self.seats = ActiveSeatTable()
         self.directory = directory
         own: dict[str, StoreFollower] = {
             BOXES_PREFIX: BoxFollower(self.directory, turned_away),
@@ -76,7 +76,7 @@
             self.readers,
             self.reader,
             self.puller,
-            KnowledgeAge(settings.known_seconds, chance),
+            StalenessLimits(settings.known_seconds, chance),
             metrics,
         )
         self.registration = Registration(self.store, me, self.note_reachable, metrics)
--- a/src/cedarchute/daemon/program_parts.py
+++ b/src/cedarchute/daemon/program_parts.py
@@ -9,17 +9,17 @@
 from cedarchute.ownership.partition_keeper import PartitionKeeper
 from cedarchute.ownership.recovery import Recovery
 from cedarchute.ownership.takeover import Takeover
-from cedarchute.programs.adopter import Adopter
-from cedarchute.programs.cache_mover import CacheMover
+from cedarchute.programs.cache_migrator import CacheMigrator
+from cedarchute.programs.cache_releaser import CacheReleaser
 from cedarchute.programs.cache_sweeper import CacheSweeper
 from cedarchute.programs.call_runner import CallRunner
 from cedarchute.programs.dispatcher import Dispatcher
-from cedarchute.programs.home import ProgramHome
 from cedarchute.programs.model_caller import ModelCaller
+from cedarchute.programs.program_registry import ProgramRegistry
+from cedarchute.programs.program_resumer import ProgramResumer
 from cedarchute.programs.reaper import Reaper
-from cedarchute.programs.releaser import Releaser
 from cedarchute.programs.target_chooser import TargetChooser
-from cedarchute.scheduling.admission import Admission
+from cedarchute.scheduling.admission import AdmissionController
 from cedarchute.targets.service_client import ServiceClient
 
 if TYPE_CHECKING:
@@ -44,10 +44,10 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self.home = ProgramHome(
+        self.home = ProgramRegistry(
             shared.replicator,
             scheduling.limits,
-            Admission(scheduling.book, shared.configuration, chance, metrics),
+            AdmissionController(scheduling.book, shared.configuration, chance, metrics),
             settings.serving,
             lambda: self.partitions.own_partition(),
             clock,
@@ -76,7 +76,7 @@
             metrics,
         )
         self.reaper = Reaper(self.home, settings.serving, clock)
-        self.releaser = Releaser(
+        self.releaser = CacheReleaser(
             self.home, scheduling.book, scheduling.engines, metrics
         )
         self.home.ended_listeners.append(self.releaser.on_ended)
@@ -139,7 +139,7 @@
             clock,
             metrics,
         )
-        mover = CacheMover(
+        mover = CacheMigrator(
             scheduling.engines,
             scheduling.book,
             scheduling.prefix_index,
@@ -168,7 +168,7 @@
     ) -> Takeover:
         """Return what takes over the programs of boxes that are gone."""
         identity = shared.record.identity
-        adopter = Adopter(identity, self.home, self.dispatcher, metrics)
+        adopter = ProgramResumer(identity, self.home, self.dispatcher, metrics)
         recovery = Recovery(
             shared.view,
             shared.holder,
--- a/src/cedarchute/daemon/scheduling_parts.py
+++ b/src/cedarchute/daemon/scheduling_parts.py
@@ -6,13 +6,13 @@
 
 from cedarchute.limits.limit_borrower import LimitBorrower
 from cedarchute.limits.limit_lender import LimitLender
-from cedarchute.limits.retry_allowance import RetryAllowance
+from cedarchute.limits.retry_budget import RetryBudget
 from cedarchute.limits.workspace_limits import WorkspaceLimits
 from cedarchute.scheduling.load_poller import LoadPoller
-from cedarchute.scheduling.policies import PolicyChoice
+from cedarchute.scheduling.policy_selector import PolicySelector
 from cedarchute.scheduling.prefix_index import PrefixIndex
-from cedarchute.scheduling.shared_holds import SharedHolds
-from cedarchute.scheduling.target_book import TargetBook
+from cedarchute.scheduling.prefix_pinner import PrefixPinner
+from cedarchute.scheduling.target_directory import TargetDirectory
 from cedarchute.targets.engine_client import EngineClient
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     ) -> None:
         box = settings.box
         configuration = shared.configuration
-        self.book = TargetBook(
+        self.book = TargetDirectory(
             box.name, box.region, settings.serving.subset_targets, clock, metrics
         )
         self.engines = EngineClient(metrics)
@@ -53,15 +53,15 @@
             chance,
         )
         self.prefix_index = PrefixIndex(clock)
-        self.policies = PolicyChoice(self.prefix_index, clock)
-        self.shared_holds = SharedHolds(
+        self.policies = PolicySelector(self.prefix_index, clock)
+        self.shared_holds = PrefixPinner(
             self.engines,
             self.prefix_index,
             lambda: configuration.site.site.hold_shared_seconds,
             clock,
             metrics,
         )
-        self.allowance = RetryAllowance(FIRST_RETRY_SHARE)
+        self.allowance = RetryBudget(FIRST_RETRY_SHARE)
         self.lender = LimitLender(configuration, clock)
         borrower = LimitBorrower(box.name, shared.view, self.lender, shared.client)
         self.limits = WorkspaceLimits(
@@ -80,7 +80,7 @@
             self.set_retry_share,
         ]
         shared.view.listeners.append(
-            lambda: self.book.on_ring(shared.view.ring_of(box.region))
+            lambda: self.book.on_ring_changed(shared.view.ring_of(box.region))
         )
 
     def set_retry_share(self, accepted: AcceptedFile) -> None:
--- a/src/cedarchute/decisions/usual_pace.py
+++ b/src/cedarchute/decisions/baseline_latency.py
@@ -8,7 +8,7 @@
 
 # The least of many rough means lies far below what is usual: with smaller windows, calm
 # engines look slow as soon as prompts are long.
-WINDOW_FIRSTS: Final = 24
+WINDOW_FIRST_EVENTS: Final = 24
 WINDOW_PAUSES: Final = 120
 # What is believed rises by this share a second: a lasting change of the engines is
 # learnt within minutes, and an overload of half a minute is not taken for usual.
@@ -35,7 +35,7 @@
         self.pause_seconds *= factor
 
 
-class UsualPace:
+class BaselineLatency:
     """The least mean of any window of samples, rising slowly.
 
     Attributes
@@ -58,7 +58,7 @@
     def take_in(self, now: float) -> None:
         """Believe the window, once it is full, and begin another."""
         window = self.window
-        if window.firsts < WINDOW_FIRSTS or window.pauses < WINDOW_PAUSES:
+        if window.firsts < WINDOW_FIRST_EVENTS or window.pauses < WINDOW_PAUSES:
             return
         first = max(LEAST_FIRST_SECONDS, window.first_seconds / window.firsts)
         pause = max(LEAST_PAUSE_SECONDS, window.pause_seconds / window.pauses)
--- a/src/cedarchute/decisions/aim_use.py
+++ b/src/cedarchute/decisions/deadline_usage.py
@@ -28,7 +28,7 @@
 LEAST: Final = 0.1
 
 
-class AimUse:
+class DeadlineUsage:
     """The share of their time at which programs of one kind end.
 
     Attributes
--- a/src/cedarchute/decisions/program_admission.py
+++ b/src/cedarchute/decisions/program_admission.py
@@ -16,7 +16,7 @@
 from cedarchute.record import Record
 
 # Below this slowdown nobody is refused: the engines have room.
-STRAINED_SLOWDOWN: Final = 1.1
+MIN_SHEDDING_SLOWDOWN: Final = 1.1
 # A program is expected to use this share of its time when the first is refused, and
 # when all are. Half of all programs take longer than expected, and what was let in a
 # moment ago slows the engines only later, so refusing begins before the whole is used;
@@ -45,12 +45,12 @@
     ----------
     slowdown : float
         Times that calls take now, of what they usually take.
-    usual_use : float
+    typical_deadline_usage : float
         The share of their time that programs of this kind use when all is calm.
     ranks_behind : int
         How many ranks of routes are less important.
     standing : float
-        Between 0 and 1, drawn from the program's name: see `find_standing`.
+        Between 0 and 1, drawn from the program's name: see `compute_shedding_hash`.
     aim_seconds : float or None
         What the caller says is left of the time that the program should take.
     waited_seconds : float
@@ -58,18 +58,18 @@
     """
 
     slowdown: float
-    usual_use: float
-    ranks_behind: int
-    standing: float
-    aim_seconds: float | None
+    typical_deadline_usage: float
+    lower_ranks: int
+    shedding_hash: float
+    soft_deadline_seconds: float | None
     waited_seconds: float = 0.0
 
     @property
-    def expected_use(self) -> float:
+    def expected_deadline_usage(self) -> float:
         """Share of its time that the program has used at its end, if let in now."""
-        whole = self.waited_seconds + (self.aim_seconds or 0.0)
+        whole = self.waited_seconds + (self.soft_deadline_seconds or 0.0)
         waited = self.waited_seconds / whole if whole > 0 else 0.0
-        return WAIT_WEIGHT * waited + self.slowdown * self.usual_use
+        return WAIT_WEIGHT * waited + self.slowdown * self.typical_deadline_usage
 
 
 class AdmissionDecision(Record):
@@ -82,18 +82,20 @@
 
 def decide_admission(inputs: AdmissionInputs) -> AdmissionDecision:
     """Return whether a new program is let in."""
-    if inputs.slowdown < STRAINED_SLOWDOWN:
+    if inputs.slowdown < MIN_SHEDDING_SLOWDOWN:
         return AdmissionDecision(True, 0.0)
-    ease = min(MOST_EASE, RANK_EASE * inputs.ranks_behind)
-    excess = inputs.expected_use - ease - FIRST_REFUSED_USE
+    ease = min(MOST_EASE, RANK_EASE * inputs.lower_ranks)
+    excess = inputs.expected_deadline_usage - ease - FIRST_REFUSED_USE
     share = excess / (ALL_REFUSED_USE - FIRST_REFUSED_USE)
     share = min(1.0, max(0.0, share))
-    if inputs.standing >= share:
+    if inputs.shedding_hash >= share:
         return AdmissionDecision(True, share)
-    return AdmissionDecision(False, share, find_retry_seconds(inputs.aim_seconds))
+    return AdmissionDecision(
+        False, share, find_retry_seconds(inputs.soft_deadline_seconds)
+    )
 
 
-def find_standing(program: str) -> float:
+def compute_shedding_hash(program: str) -> float:
     """Return a number between 0 and 1 that every box draws for a program alike.
 
     A program that is refused meets the same answer at each box and each time that it
--- a/src/cedarchute/decisions/key_trust.py
+++ b/src/cedarchute/decisions/proof_age_limit.py
@@ -17,12 +17,12 @@
 UNKNOWN_AGE_SECONDS: Final = 1e6
 
 
-def tell_age(age_seconds: float) -> float:
+def cap_age(age_seconds: float) -> float:
     """Return the age of a proof as logs and metrics tell it."""
     return round(min(age_seconds, UNKNOWN_AGE_SECONDS), 3)
 
 
-class KeyTrust:
+class ProofAgeLimit:
     """How old a proof may be.
 
     Parameters
@@ -37,7 +37,7 @@
         if revoke_seconds > 0:
             self.most_seconds = max(0.0, revoke_seconds - MARGIN_SECONDS)
 
-    def covers(self, age_seconds: float) -> bool:
+    def accepts(self, age_seconds: float) -> bool:
         """Whether a proof of this age is good enough."""
         return age_seconds < self.most_seconds or self.is_unbounded
 
--- a/src/cedarchute/decisions/quota_share.py
+++ b/src/cedarchute/decisions/quota_share.py
@@ -28,7 +28,7 @@
 START_RESERVE: Final = 0.15
 # Calls of programs under way wait for a free one at the most so long: a program has
 # seconds in all, and its caller waits for a tool once.
-MOST_WAIT_SECONDS: Final = 1.0
+MAX_WAIT_SECONDS: Final = 1.0
 # A workspace of few calls needs room for whole programs at once, so limits are
 # stretched by nearly all that they may be exceeded by. The
 # rest is left to keepers that begin anew and to calls that wait before their target.
@@ -141,7 +141,7 @@
         left = tolerance.overrun * overrun + slack
         return max(1.0, FIRST_SHARE * left / self.limit.keepers)
 
-    def note_limit(self, limit: QuotaLimit) -> None:
+    def update_limit(self, limit: QuotaLimit) -> None:
         """Take in a limit; one of an older version changes nothing."""
         if limit.version < self.limit.version or limit == self.limit:
             return
@@ -149,7 +149,9 @@
         self.bucket.refill()
         self.bucket.change(self.find_rate(), self.find_burst())
 
-    def ask(self, begins_program: bool, patience_seconds: float = 0.0) -> QuotaGrant:
+    def acquire(
+        self, begins_program: bool, patience_seconds: float = 0.0
+    ) -> QuotaGrant:
         """Grant one call if the share has it, or has it soon enough.
 
         Parameters
@@ -161,7 +163,7 @@
         if begins_program:
             needed = min(self.bucket.burst, 1.0 + START_RESERVE * self.bucket.burst)
         wait_seconds = self.bucket.seconds_until(needed)
-        patience_seconds = min(patience_seconds, MOST_WAIT_SECONDS)
+        patience_seconds = min(patience_seconds, MAX_WAIT_SECONDS)
         if wait_seconds > (0.0 if begins_program else patience_seconds):
             return QuotaGrant(False, wait_seconds, self.bucket.level)
         self.bucket.take_ahead()
--- a/src/cedarchute/decisions/recent_pace.py
+++ b/src/cedarchute/decisions/recent_pace.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cedarchute.decisions.usual_pace import PaceSums
+from cedarchute.decisions.baseline_latency import PaceSums
 from cedarchute.record import MutableRecord
 
 
--- a/src/cedarchute/decisions/pace_meter.py
+++ b/src/cedarchute/decisions/slowdown_meter.py
@@ -10,8 +10,8 @@
 
 from typing import Final
 
+from cedarchute.decisions.baseline_latency import BaselineLatency, PaceSums
 from cedarchute.decisions.recent_pace import RecentPace
-from cedarchute.decisions.usual_pace import PaceSums, UsualPace
 from cedarchute.record import Record
 
 # What was seen this long ago counts a third. A program lives for seconds and the queue
@@ -57,7 +57,7 @@
     return 1.0
 
 
-class PaceMeter:
+class SlowdownMeter:
     """Compares what streams take now with what they take when engines are calm.
 
     Each target is measured by itself: what is far slower than the middle one is slow on
@@ -66,7 +66,7 @@
     """
 
     def __init__(self) -> None:
-        self.usual = UsualPace()
+        self.usual = BaselineLatency()
         self.recent: dict[str, RecentPace] = {}
         self.longer: dict[str, RecentPace] = {}
         self.waiting: dict[int, Wait] = {}
@@ -82,13 +82,13 @@
         """Take in that a call waits no more for its first event."""
         self.waiting.pop(number, None)
 
-    def record_first(self, target: str, now: float, seconds: float) -> None:
+    def record_first_event(self, target: str, now: float, seconds: float) -> None:
         """Take in how long a target took for the first event of a stream."""
         for sums in self.list_sums(target, now):
             sums.firsts += 1
             sums.first_seconds += seconds
 
-    def record_pauses(
+    def record_event_gaps(
         self, target: str, now: float, seconds: float, events: int
     ) -> None:
         """Take in how long the next `events` events of a stream took."""
--- a/src/cedarchute/decisions/knowledge_age.py
+++ b/src/cedarchute/decisions/staleness_limits.py
@@ -39,7 +39,7 @@
     LISTENER = "listener"
 
 
-class Step(Enum):
+class RefreshStep(Enum):
     """What a box does about the age of its knowledge."""
 
     NOTHING = "nothing"
@@ -47,7 +47,7 @@
     ASK_THE_STORE = "ask the store"
 
 
-class KnowledgeAge:
+class StalenessLimits:
     """The ages at which a box of each rank asks.
 
     Parameters
@@ -67,7 +67,7 @@
         self.answer_seconds = ANSWER_SHARE * known_seconds
         self.pause_seconds = PAUSE_SHARE * known_seconds
 
-    def find_first_seconds(self, rank: ReaderRank) -> float:
+    def find_refresh_age(self, rank: ReaderRank) -> float:
         """Return the age at which a box of that rank first asks anybody."""
         if rank is ReaderRank.FIRST:
             return self.reader_seconds
@@ -75,10 +75,10 @@
             return self.second_reader_seconds
         return self.boxes_seconds
 
-    def choose_step(self, rank: ReaderRank, age_seconds: float) -> Step:
+    def choose_refresh(self, rank: ReaderRank, age_seconds: float) -> RefreshStep:
         """Return what a box of that rank does with knowledge of that age."""
-        if age_seconds < self.find_first_seconds(rank):
-            return Step.NOTHING
+        if age_seconds < self.find_refresh_age(rank):
+            return RefreshStep.NOTHING
         if rank is ReaderRank.LISTENER and age_seconds < self.store_seconds:
-            return Step.ASK_A_BOX
-        return Step.ASK_THE_STORE
+            return RefreshStep.ASK_A_BOX
+        return RefreshStep.ASK_THE_STORE
--- a/src/cedarchute/fleet/configuration_prover.py
+++ b/src/cedarchute/fleet/configuration_prover.py
@@ -9,15 +9,15 @@
 import eventlet
 from eventlet.event import Event
 
-from cedarchute.decisions.key_trust import tell_age
-from cedarchute.decisions.knowledge_age import ReaderRank, Step
+from cedarchute.decisions.proof_age_limit import cap_age
+from cedarchute.decisions.staleness_limits import ReaderRank, RefreshStep
 from cedarchute.fleet.backoff import Backoff
 from cedarchute.fleet.state_messages import MirroredEntry
 from cedarchute.fleet.store_reader import EVERYTHING
 from cedarchute.platform.store_client import HistoryGoneError, StoreUnavailableError
 
 if TYPE_CHECKING:
-    from cedarchute.decisions.knowledge_age import KnowledgeAge
+    from cedarchute.decisions.staleness_limits import StalenessLimits
     from cedarchute.fleet.reader_choice import ReaderChoice
     from cedarchute.fleet.state_puller import StatePuller
     from cedarchute.fleet.store_mirror import StoreMirror
@@ -51,7 +51,7 @@
         readers: ReaderChoice,
         reader: StoreReader,
         puller: StatePuller,
-        limits: KnowledgeAge,
+        limits: StalenessLimits,
         metrics: Metrics,
     ) -> None:
         self.store = store
@@ -81,21 +81,21 @@
         """Keep a proof at hand for the life of the process."""
         while True:
             eventlet.sleep(self.find_wait())
-            self.metrics.time("proof.age", tell_age(self.age_seconds))
+            self.metrics.time("proof.age", cap_age(self.age_seconds))
             self.keep_once()
 
     def find_wait(self) -> float:
         """Return how long nothing is due."""
-        first = self.limits.find_first_seconds(self.readers.find_rank())
+        first = self.limits.find_refresh_age(self.readers.find_rank())
         return max(self.limits.pause_seconds, first - self.unproven_seconds)
 
     def keep_once(self) -> None:
         """Do what the age of this box's knowledge asks for."""
         rank = self.readers.find_rank()
-        step = self.limits.choose_step(rank, self.unproven_seconds)
-        if step is Step.NOTHING:
+        step = self.limits.choose_refresh(rank, self.unproven_seconds)
+        if step is RefreshStep.NOTHING:
             self.boxes_asked = 0
-        elif step is Step.ASK_A_BOX:
+        elif step is RefreshStep.ASK_A_BOX:
             self.ask_a_box()
         else:
             self.ask_unless_asking()
@@ -109,7 +109,7 @@
         self.metrics.count("proofs.boxes_asked")
         log.info(
             "Knowledge is old, asking a box.",
-            extra={"box": str(address), "age": tell_age(self.age_seconds)},
+            extra={"box": str(address), "age": cap_age(self.age_seconds)},
         )
         self.puller.pull_from(address, self.limits.answer_seconds)
 
@@ -121,7 +121,7 @@
         return seconds
 
     @property
-    def is_store_away(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether other boxes answer, and know nothing newer either."""
         return self.mirror.hears_boxes
 
@@ -180,7 +180,7 @@
         self.may_ask_at = time.monotonic() + self.find_pause()
         log.info(
             "Configuration not proven.",
-            extra={"why": why, "age": tell_age(self.age_seconds)},
+            extra={"why": why, "age": cap_age(self.age_seconds)},
         )
         self.reader.note_reachable(False)
 
@@ -198,7 +198,7 @@
         if age_before > self.limits.store_seconds:
             log.info(
                 "Configuration proven again.",
-                extra={"age_before": tell_age(age_before)},
+                extra={"age_before": cap_age(age_before)},
             )
 
     def catch_up(self, reading: StoreReading, asked_at: float) -> None:
--- a/src/cedarchute/fleet/followers.py
+++ b/src/cedarchute/fleet/followers.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from cedarchute.fleet.box_directory import BoxDirectory
     from cedarchute.fleet.turned_away import TurnedAway
-    from cedarchute.turns.seat_book import SeatBook
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
 
 SEATS_KEY: Final = "cedarchute/seats"
 
@@ -70,14 +70,14 @@
 class SeatFollower:
     """Takes in the table of seats."""
 
-    def __init__(self, seats: SeatBook, turned_away: TurnedAway) -> None:
+    def __init__(self, seats: ActiveSeatTable, turned_away: TurnedAway) -> None:
         self.seats = seats
         self.turned_away = turned_away
 
     def put(self, key: str, value: str) -> None:
         """Take in a table."""
         try:
-            self.seats.offer(read_seats(value), "store")
+            self.seats.update(read_seats(value), "store")
         except (msgspec.MsgspecError, RecursionError, ValueError) as error:
             self.turned_away.note("seats", SEATS_KEY, str(error))
 
--- a/src/cedarchute/fleet/holder_contact.py
+++ b/src/cedarchute/fleet/holder_contact.py
@@ -45,7 +45,7 @@
         """Take this box out of the list of entries, or put it back."""
         if self.quorum.fanout.failing_since is not None:
             self.try_probe()
-        lost = self.quorum.fanout.is_cut_off
+        lost = self.quorum.fanout.is_isolated
         if lost == self.lost:
             return
         self.lost = lost
--- a/src/cedarchute/limits/limit_borrower.py
+++ b/src/cedarchute/limits/limit_borrower.py
@@ -36,7 +36,7 @@
         """
         keeper = self.view.ring.find_owner(request.workspace)
         if keeper is None or keeper == self.box:
-            return self.lender.on_borrow(request)
+            return self.lender.handle_borrow(request)
         record = self.view.boxes.get(keeper)
         if record is None:
             raise PeerError(f"no record of {keeper}")
--- a/src/cedarchute/limits/limit_lender.py
+++ b/src/cedarchute/limits/limit_lender.py
@@ -28,7 +28,7 @@
         self.clock = clock
         self.buckets: dict[str, TokenBucket] = {}
 
-    def on_borrow(self, request: BorrowRequest) -> BorrowReply:
+    def handle_borrow(self, request: BorrowRequest) -> BorrowReply:
         """Lend as many of the calls asked for as there are."""
         site = self.configuration.site
         section = site.workspaces.get(request.workspace) if site else None
--- a/src/cedarchute/limits/retry_allowance.py
+++ b/src/cedarchute/limits/retry_budget.py
@@ -7,7 +7,7 @@
 BURST: Final = 10.0
 
 
-class RetryAllowance:
+class RetryBudget:
     """Each first try adds a share of a retry; each retry takes one whole.
 
     Under overload the retries therefore never add more than that share to the
@@ -18,7 +18,7 @@
         self.share = share
         self.level = BURST
 
-    def on_first_try(self) -> None:
+    def record_first_attempt(self) -> None:
         """Add the share that one first try allows."""
         self.level = min(BURST, self.level + self.share)
 
--- a/src/cedarchute/operators/operator_api.py
+++ b/src/cedarchute/operators/operator_api.py
@@ -16,7 +16,7 @@
     TargetStatus,
 )
 from cedarchute.peers.peer_client import PeerError
-from cedarchute.scheduling.target_book import is_leaving
+from cedarchute.scheduling.target_directory import is_draining
 
 if TYPE_CHECKING:
     from werkzeug.wrappers import Request, Response
@@ -31,8 +31,8 @@
     from cedarchute.peers.peer_app import PeerApp
     from cedarchute.peers.peer_client import PeerClient
     from cedarchute.programs.call_runner import CallRunner
-    from cedarchute.programs.home import ProgramHome
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.programs.program_registry import ProgramRegistry
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.scheduling.target_state import TargetState
 
 
@@ -50,10 +50,10 @@
         view: View,
         keeper: LeaseKeeper,
         client: PeerClient,
-        home: ProgramHome,
+        home: ProgramRegistry,
         runner: CallRunner,
         replicator: Replicator,
-        book: TargetBook,
+        book: TargetDirectory,
         metrics: Metrics,
     ) -> None:
         self.applier = applier
@@ -145,7 +145,7 @@
             state=record.state.value,
             revision=self.configuration.revision,
             programs=len(self.home.programs),
-            calls_in_progress=self.runner.in_progress,
+            calls_in_progress=self.runner.active_call_count,
             partitions=len(self.replicator.partitions),
             copies=sum(1 for _ in self.replicator.local.held_programs),
             counters=dict(self.metrics.totals),
@@ -166,7 +166,7 @@
         service=target.section.service,
         address=str(target.section.address),
         failure_domain=target.section.failure_domain,
-        state="leaving" if is_leaving(target) else "serving",
+        state="leaving" if is_draining(target) else "serving",
         in_flight=target.in_flight,
         running=report.running if report else None,
         waiting=report.waiting if report else None,
--- a/src/cedarchute/ownership/partition_keeper.py
+++ b/src/cedarchute/ownership/partition_keeper.py
@@ -23,7 +23,7 @@
     from cedarchute.membership.view import View
     from cedarchute.metrics import Metrics
     from cedarchute.platform.store_client import StoreClient
-    from cedarchute.programs.home import ProgramHome
+    from cedarchute.programs.program_registry import ProgramRegistry
     from cedarchute.settings.box_settings import CopiesSection
 
 log = logging.getLogger("cedarchute.ownership")
@@ -48,7 +48,7 @@
         view: View,
         keeper: LeaseKeeper,
         replicator: Replicator,
-        home: ProgramHome,
+        home: ProgramRegistry,
         settings: CopiesSection,
         clock: Clock,
         metrics: Metrics,
--- a/src/cedarchute/ownership/recovery.py
+++ b/src/cedarchute/ownership/recovery.py
@@ -27,8 +27,8 @@
     from cedarchute.membership.view import View
     from cedarchute.metrics import Metrics
     from cedarchute.peers.peer_client import PeerClient
-    from cedarchute.programs.adopter import Adopter
-    from cedarchute.programs.home import ProgramHome
+    from cedarchute.programs.program_registry import ProgramRegistry
+    from cedarchute.programs.program_resumer import ProgramResumer
 
 log = logging.getLogger("cedarchute.takeover")
 
@@ -48,8 +48,8 @@
         self,
         view: View,
         holder: Holder,
-        home: ProgramHome,
-        adopter: Adopter,
+        home: ProgramRegistry,
+        adopter: ProgramResumer,
         client: PeerClient,
         clock: Clock,
         metrics: Metrics,
@@ -76,16 +76,16 @@
         ]
         for program in programs:
             program.is_ready = False
-            program.touched_at = self.clock.monotonic()
+            program.last_active_at = self.clock.monotonic()
             self.home.programs[program.id] = program
         partition.is_recovering = False
         self.metrics.count("takeover.programs", len(programs))
         log.info("Took over %d programs of %s.", len(programs), partition.name)
         pool = eventlet.GreenPool(ADOPTING)
         for program in programs:
-            pool.spawn_n(self.adopter.adopt, program)
+            pool.spawn_n(self.adopter.resume, program)
         pool.waitall()
-        self.home.parts.give_all_back(partition)
+        self.home.child_budgets.refund_missing_children(partition)
 
     def read_all(
         self, partition: OwnedPartition, sealed: dict[str, SealReply]
--- a/src/cedarchute/platform/box_list.py
+++ b/src/cedarchute/platform/box_list.py
@@ -15,7 +15,7 @@
     from cedarchute.address import Address
     from cedarchute.membership.view import View
     from cedarchute.metrics import Metrics
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
 
 log = logging.getLogger("cedarchute.platform")
 
@@ -48,7 +48,7 @@
         address: Address,
         box: str,
         view: View,
-        book: TargetBook,
+        book: TargetDirectory,
         on_leaving: Callable[[], None],
         metrics: Metrics,
     ) -> None:
@@ -79,7 +79,7 @@
             return
         leaving = frozenset(b.name for b in listing.boxes if b.state == "leaving")
         self.view.set_platform_leaving(leaving)
-        self.book.platform_leaving = leaving
+        self.book.platform_draining = leaving
         if self.box in leaving:
             log.info("The platform says that this box is leaving.")
             self.on_leaving()
--- a/src/cedarchute/platform/call_headers.py
+++ b/src/cedarchute/platform/call_headers.py
@@ -5,13 +5,13 @@
 import logging
 from typing import TYPE_CHECKING, Final
 
-from cedarchute.calls.call import Call, ProgramTerms
+from cedarchute.calls.call import Call, ProgramContext
 from cedarchute.platform import headers as names
 from cedarchute.relay.headers import Headers
 from cedarchute.relay.request_error import RequestError
 
 if TYPE_CHECKING:
-    from cedarchute.calls.permit import Permit
+    from cedarchute.calls.caller_identity import CallerIdentity
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.relay.target_answer import TargetAnswer
     from cedarchute.routing.target_entry import TargetEntry
@@ -69,12 +69,12 @@
     _, _, most = headers.get_text(names.TOKENS).partition(",")
     if budget is not None and not most.strip():
         raise RequestError(400, "header token-count does not say the most tokens out")
-    terms = ProgramTerms(
+    terms = ProgramContext(
         program=headers.get_text(names.PROGRAM),
         budget=budget,
-        previous=headers.get_text(names.PREVIOUS_TURN),
-        most_tokens=_parse_number(most.strip() or "0", names.TOKENS),
-        aim_seconds=_read_aim(headers),
+        previous_turn=headers.get_text(names.PREVIOUS_TURN),
+        max_tokens=_parse_number(most.strip() or "0", names.TOKENS),
+        soft_deadline_seconds=_read_aim(headers),
     )
     seconds = None if patience is None else patience / 1000
     return Call(call_id, seconds, terms)
@@ -103,23 +103,25 @@
     request: CallerRequest,
     target: TargetEntry,
     seconds_left: float,
-    permit: Permit | None,
+    caller_identity: CallerIdentity | None,
 ) -> Headers:
     """Return the headers of a request to a target.
 
     Where workspaces hold keys, the target learns of the caller's workspace and not of
     its key, and what the caller says of its workspace counts nothing.
     """
-    rewritten = names.REWRITTEN if permit is None else names.REWRITTEN_WITH_KEYS
+    rewritten = (
+        names.REWRITTEN if caller_identity is None else names.REWRITTEN_WITH_KEYS
+    )
     kept = request.headers.select_end_to_end(rewritten)
     milliseconds = max(1, int(seconds_left * 1000))
     kept = kept.extend(
         (b"Deadline-Ms", b"%d" % milliseconds),
         (b"Expect-Instance", target.id.encode("latin-1")),
     )
-    if permit is None or permit.workspace is None:
+    if caller_identity is None or caller_identity.workspace is None:
         return kept
-    return kept.extend((b"Tenant", permit.workspace.name.encode()))
+    return kept.extend((b"Tenant", caller_identity.workspace.name.encode()))
 
 
 def write_refusal_headers(call_id: str, retry_after_seconds: float | None) -> Headers:
--- a/src/cedarchute/platform/followers.py
+++ b/src/cedarchute/platform/followers.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from cedarchute.fleet.turned_away import TurnedAway
-    from cedarchute.routing.route_book import RouteBook
+    from cedarchute.routing.active_route_table import ActiveRouteTable
     from cedarchute.routing.target_registry import TargetRegistry
 
 log = logging.getLogger("cedarchute.platform")
@@ -23,7 +23,7 @@
 class ConfigurationFollower:
     """Puts the operators' configuration in force."""
 
-    def __init__(self, book: RouteBook, turned_away: TurnedAway) -> None:
+    def __init__(self, book: ActiveRouteTable, turned_away: TurnedAway) -> None:
         self.book = book
         self.turned_away = turned_away
 
@@ -34,7 +34,7 @@
     def offer(self, text: str, source: str) -> None:
         """Take in a configuration from anywhere; one that is not valid is left."""
         try:
-            self.book.offer(read_route_table(text), source)
+            self.book.update_if_newer(read_route_table(text), source)
         except DocumentError as error:
             self.turned_away.note("configuration", CONFIGURATION, str(error))
 
@@ -64,7 +64,7 @@
             self.registry.put(read_target(key, value))
         except DocumentError as error:
             self.turned_away.note("target", key, str(error))
-            self.registry.suspend(key)
+            self.registry.mark_not_ready(key)
 
     def remove(self, key: str) -> None:
         """Take in that a target's entry is gone."""
--- a/src/cedarchute/platform/routing_document.py
+++ b/src/cedarchute/platform/routing_document.py
@@ -172,8 +172,8 @@
         objective_seconds=route.slo_ms / 1000,
         rank=route.priority,
         max_targets=route.max_attempts,
-        keeps_turns=route.retained,
-        keep_seconds=route.retention_s,
+        retains_turns=route.retained,
+        retention_seconds=route.retention_s,
         is_public=route.public,
     )
 
@@ -212,8 +212,8 @@
         failure_domain=document.zone,
         ready=document.state == "ready",
         slots=document.slots,
-        cold_seconds=document.cold_left_ms / 1000,
-        born_ms=document.born,
+        warmup_seconds=document.cold_left_ms / 1000,
+        started_at_ms=document.born,
     )
 
 
--- a/src/cedarchute/programs/cache_mover.py
+++ b/src/cedarchute/programs/cache_migrator.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from cedarchute.scheduling.program_aware import is_worth_moving
+from cedarchute.scheduling.program_aware import is_transfer_cheaper
 from cedarchute.targets.target_error import TargetError
 
 if TYPE_CHECKING:
@@ -13,14 +13,14 @@
     from cedarchute.operators.configuration import Configuration
     from cedarchute.programs.program import Program
     from cedarchute.scheduling.prefix_index import PrefixIndex
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.engine_client import EngineClient
 
 log = logging.getLogger("cedarchute.dispatch")
 
 
-class CacheMover:
+class CacheMigrator:
     """Exports from the engine that has most of a program, before its next call.
 
     The records name the new engine before anything is imported there, so that the
@@ -31,7 +31,7 @@
     def __init__(
         self,
         engines: EngineClient,
-        book: TargetBook,
+        book: TargetDirectory,
         index: PrefixIndex,
         configuration: Configuration,
         metrics: Metrics,
@@ -42,17 +42,17 @@
         self.configuration = configuration
         self.metrics = metrics
 
-    def prepare(self, program: Program, target: TargetState) -> None:
+    def migrate_if_worthwhile(self, program: Program, target: TargetState) -> None:
         """Bring a program's cache to the target of its next call, if that pays."""
         site = self.configuration.site
         if site is None or not site.is_program_aware:
             return
         here = max(
-            program.cached.get(target.name, 0),
-            self.index.count_held_tokens(program.prefixes, target.name),
+            program.cached_tokens_by_target.get(target.name, 0),
+            self.index.count_cached_tokens(program.prefixes, target.name),
         )
         source, tokens = self.find_source(program, target)
-        if source is None or not is_worth_moving(target, here, tokens):
+        if source is None or not is_transfer_cheaper(target, here, tokens):
             return
         asked = source
         try:
@@ -63,7 +63,7 @@
             self.metrics.count("cache.move_failed")
             log.info("Cache of %s not moved: %s.", program.id, error)
             # Or the next program would wait for the same engine in vain.
-            self.book.rest(asked)
+            self.book.back_off(asked)
             return
         self.metrics.count("cache.moved")
 
@@ -73,7 +73,7 @@
         """Return the sound engine with the most cache, and how many tokens."""
         best: TargetState | None = None
         most = 0
-        for name, tokens in program.cached.items():
+        for name, tokens in program.cached_tokens_by_target.items():
             source = self.book.find(name)
             if source is None or source is target or source.failures:
                 continue
--- a/src/cedarchute/programs/releaser.py
+++ b/src/cedarchute/programs/cache_releaser.py
@@ -14,9 +14,9 @@
 
 if TYPE_CHECKING:
     from cedarchute.metrics import Metrics
-    from cedarchute.programs.home import ProgramHome
     from cedarchute.programs.program import Program
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.programs.program_registry import ProgramRegistry
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.targets.engine_client import EngineClient
 
 log = logging.getLogger("cedarchute.release")
@@ -25,7 +25,7 @@
 LONGEST_WAIT_SECONDS: Final = 10.0
 
 
-class Releaser:
+class CacheReleaser:
     """Asks each engine of an ended program until it confirms.
 
     A confirmed release is recorded, so a box that takes the program over asks
@@ -34,8 +34,8 @@
 
     def __init__(
         self,
-        home: ProgramHome,
-        book: TargetBook,
+        home: ProgramRegistry,
+        book: TargetDirectory,
         engines: EngineClient,
         metrics: Metrics,
     ) -> None:
@@ -46,13 +46,13 @@
 
     def on_ended(self, program: Program) -> None:
         """Start to release an ended program."""
-        for target in list(program.cached):
+        for target in list(program.cached_tokens_by_target):
             eventlet.spawn_n(self.release, program, target)
 
     def release(self, program: Program, name: str) -> None:
         """Release one program on one target, again until it is confirmed."""
         wait = FIRST_WAIT_SECONDS
-        while not program.partition.is_lost and name in program.cached:
+        while not program.partition.is_lost and name in program.cached_tokens_by_target:
             target = self.book.find(name)
             try:
                 if target is not None:
--- a/src/cedarchute/programs/cache_sweeper.py
+++ b/src/cedarchute/programs/cache_sweeper.py
@@ -12,7 +12,10 @@
 from cedarchute.peers.peer_client import PeerError
 from cedarchute.problem import Problem
 from cedarchute.programs.program_id import parse_partition
-from cedarchute.scheduling.shared_name import is_shared_name, is_shared_name_over
+from cedarchute.scheduling.pinned_prefix_key import (
+    is_pinned_prefix_expired,
+    is_pinned_prefix_key,
+)
 from cedarchute.targets.target_error import TargetError
 
 if TYPE_CHECKING:
@@ -22,13 +25,13 @@
     from cedarchute.operators.configuration import Configuration
     from cedarchute.operators.site_file import TargetSection
     from cedarchute.peers.peer_client import PeerClient
-    from cedarchute.programs.home import ProgramHome
+    from cedarchute.programs.program_registry import ProgramRegistry
     from cedarchute.targets.engine_client import EngineClient
 
 log = logging.getLogger("cedarchute.release")
 
 
-class LivesRequest(Message):
+class LiveProgramsRequest(Message):
     """Asks a program's home which of some programs still need their cache."""
 
     partition: str
@@ -56,7 +59,7 @@
         self,
         box: str,
         view: View,
-        home: ProgramHome,
+        home: ProgramRegistry,
         configuration: Configuration,
         engines: EngineClient,
         client: PeerClient,
@@ -94,14 +97,14 @@
     def sweep(self, target: TargetSection) -> None:
         """Release on one engine what no program needs."""
         try:
-            held = self.engines.read_held(target.address)
+            held = self.engines.list_cached_programs(target.address)
         except TargetError:
             return
         by_partition: dict[str, list[str]] = {}
         now = self.clock.wall()
         for program in held:
-            if is_shared_name(program):
-                if is_shared_name_over(program, now):
+            if is_pinned_prefix_key(program):
+                if is_pinned_prefix_expired(program, now):
                     self.release(target, program)
                 continue
             try:
@@ -130,13 +133,13 @@
         record = self.view.partitions.get(partition)
         if record is None:
             return set() if self.view.is_replaced(partition) else None
-        request = LivesRequest(partition=partition, programs=tuple(programs))
+        request = LiveProgramsRequest(partition=partition, programs=tuple(programs))
         owner = self.view.find_box(record.owner)
         if owner is None:
             return None
         try:
             if owner.name == self.box:
-                reply = self.on_lives(request)
+                reply = self.handle_live_programs(request)
             else:
                 reply = self.client.send(
                     owner.peer_address, "lives", request, LivesReply
@@ -145,7 +148,7 @@
             return None
         return set(reply.living) if reply.known else None
 
-    def on_lives(self, request: LivesRequest) -> LivesReply:
+    def handle_live_programs(self, request: LiveProgramsRequest) -> LivesReply:
         """Say which programs need their cache."""
         partition = self.home.replicator.partitions.get(request.partition)
         if partition is None or partition.is_lost or partition.is_recovering:
--- a/src/cedarchute/programs/call_run.py
+++ b/src/cedarchute/programs/call_run.py
@@ -90,7 +90,7 @@
         self.problem = problem
         self._wake()
 
-    def move(self) -> None:
+    def mark_moved(self) -> None:
         """End because another box orders the program's calls now."""
         if not self.is_done:
             self.is_moved = True
--- a/src/cedarchute/programs/call_runner.py
+++ b/src/cedarchute/programs/call_runner.py
@@ -14,7 +14,7 @@
 from cedarchute.operators.site_file import ServiceKind
 from cedarchute.problem import Problem
 from cedarchute.programs.call_run import CallRun
-from cedarchute.programs.dispatch import Dispatch
+from cedarchute.programs.dispatched_call import DispatchedCall
 from cedarchute.programs.records import CallFinished, CallIntended
 from cedarchute.request_ids import current_request_id, set_request_id
 from cedarchute.targets.target_error import TargetError
@@ -27,8 +27,8 @@
     from cedarchute.operators.configuration import Configuration
     from cedarchute.operators.site_file import ServiceSection
     from cedarchute.programs.dispatcher import Dispatcher
-    from cedarchute.programs.home import ProgramHome
     from cedarchute.programs.program import Program
+    from cedarchute.programs.program_registry import ProgramRegistry
     from cedarchute.programs.requests import CallRequest
 
 log = logging.getLogger("cedarchute.programs")
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        home: ProgramHome,
+        home: ProgramRegistry,
         dispatcher: Dispatcher,
         limits: WorkspaceLimits,
         configuration: Configuration,
@@ -54,7 +54,7 @@
         self.configuration = configuration
         self.clock = clock
         self.metrics = metrics
-        self.in_progress = 0
+        self.active_call_count = 0
 
     def start(self, program: Program, key: str, request: CallRequest) -> CallRun:
         """Return the run of a call, started now unless its key is known.
@@ -153,17 +153,17 @@
         service: ServiceSection,
     ) -> None:
         """Run one call when its turn comes; the run tells how it ended."""
-        self.in_progress += 1
+        self.active_call_count += 1
         set_request_id(run.request_id)
         try:
-            with program.order:
+            with program.turn_lock:
                 outcome = self.run_in_turn(program, run, request, service)
             run.finish(outcome)
             self.metrics.count("calls.finished")
         except Problem as problem:
             run.fail(problem)
         except PartitionMovedError:
-            run.move()
+            run.mark_moved()
         except Exception:
             log.exception("Call %s of %s failed.", run.key, program.id)
             run.fail(
@@ -175,7 +175,7 @@
                 )
             )
         finally:
-            self.in_progress -= 1
+            self.active_call_count -= 1
             program.runs.pop(run.key, None)
 
     def run_in_turn(
@@ -197,7 +197,7 @@
             )
         intent = self.make_intent(program, run, request, service)
         self.record_intent(program, intent)
-        call = Dispatch(program, intent, program.calls[run.key], run)
+        call = DispatchedCall(program, intent, program.calls[run.key], run)
         outcome = self.dispatcher.dispatch(call)
         self.home.append_surely(program, [outcome])
         return outcome
@@ -229,13 +229,13 @@
         input_tokens = request.input_tokens
         is_model = service.kind is ServiceKind.MODEL
         max_tokens = request.max_tokens if is_model else 0
-        left = program.left_tokens - input_tokens
+        left = program.remaining_tokens - input_tokens
         if program.left_calls < 1 or left < (1 if is_model else 0):
             self.metrics.count_refusal("budget_spent")
             raise Problem(
                 "budget_spent",
                 f"The program has {program.left_calls} calls and "
-                f"{program.left_tokens} tokens left; this call needs "
+                f"{program.remaining_tokens} tokens left; this call needs "
                 f"{input_tokens} tokens for its input.",
                 status=403,
             )
@@ -276,7 +276,7 @@
             code="copies_unavailable",
         )
         try:
-            with program.order:
+            with program.turn_lock:
                 self.home.append_surely(program, [refused])
         except PartitionMovedError:
             return
--- a/src/cedarchute/programs/call_entry.py
+++ b/src/cedarchute/programs/call_state.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class CallEntry:
+class CallState:
     """A call without its texts, which stay in the log.
 
     Attributes
--- a/src/cedarchute/programs/dispatch.py
+++ b/src/cedarchute/programs/dispatched_call.py
@@ -6,19 +6,19 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cedarchute.programs.call_entry import CallEntry
     from cedarchute.programs.call_run import CallRun
+    from cedarchute.programs.call_state import CallState
     from cedarchute.programs.program import Program
     from cedarchute.programs.records import CallIntended, ChatMessage
 
 
 @dataclass(frozen=True)
-class Dispatch:
+class DispatchedCall:
     """A call on its way: its program, its intent, its state and its run."""
 
     program: Program
     intent: CallIntended
-    entry: CallEntry
+    entry: CallState
     run: CallRun
 
     @property
--- a/src/cedarchute/programs/dispatcher.py
+++ b/src/cedarchute/programs/dispatcher.py
@@ -16,15 +16,15 @@
 
     from cedarchute.clock import Clock
     from cedarchute.copies.replicator import Replicator
-    from cedarchute.limits.retry_allowance import RetryAllowance
+    from cedarchute.limits.retry_budget import RetryBudget
     from cedarchute.metrics import Metrics
-    from cedarchute.programs.cache_mover import CacheMover
-    from cedarchute.programs.dispatch import Dispatch
+    from cedarchute.programs.cache_migrator import CacheMigrator
+    from cedarchute.programs.dispatched_call import DispatchedCall
     from cedarchute.programs.model_caller import ModelCaller
     from cedarchute.programs.program import Program
     from cedarchute.programs.records import ProgramRecord
     from cedarchute.programs.target_chooser import TargetChooser
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.service_client import ServiceClient
 
@@ -44,20 +44,20 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetDirectory,
         chooser: TargetChooser,
         models: ModelCaller,
-        mover: CacheMover,
+        mover: CacheMigrator,
         services: ServiceClient,
         replicator: Replicator,
         append: Callable[[Program, Sequence[ProgramRecord]], None],
-        allowance: RetryAllowance,
+        allowance: RetryBudget,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self.book = book
         self.chooser = chooser
-        self.models = models
+        self.model_caller = models
         self.mover = mover
         self.services = services
         self.replicator = replicator
@@ -67,7 +67,11 @@
         self.metrics = metrics
 
     def dispatch(
-        self, call: Dispatch, *, is_resumed: bool = False, may_have_run: bool = False
+        self,
+        call: DispatchedCall,
+        *,
+        is_resumed: bool = False,
+        may_have_run: bool = False,
     ) -> CallFinished:
         """Carry a call out and return its outcome.
 
@@ -83,7 +87,7 @@
         PartitionMovedError
             When another box orders the program's calls now.
         """
-        self.allowance.on_first_try()
+        self.allowance.record_first_attempt()
         excluded: set[str] = set()
         while True:
             try:
@@ -110,7 +114,7 @@
             call.run.restart(attempt)
 
     def choose_retry(
-        self, call: Dispatch, error: TargetError, excluded: set[str]
+        self, call: DispatchedCall, error: TargetError, excluded: set[str]
     ) -> TargetState | None:
         """Return where to try again, or None when that is not allowed."""
         if error.verdict is not Verdict.NOT_RUN and not call.intent.repeatable:
@@ -142,9 +146,9 @@
         """
         state = self.book.find(target)
         if state is not None:
-            self.models.engines.cancel(state.section.address, request_id)
+            self.model_caller.engines.cancel(state.section.address, request_id)
 
-    def attempt(self, call: Dispatch, *, is_resumed: bool) -> CallFinished:
+    def attempt(self, call: DispatchedCall, *, is_resumed: bool) -> CallFinished:
         """Carry out one attempt at the target that the records name."""
         target = self.book.find(call.entry.target)
         if target is None:
@@ -154,27 +158,27 @@
             raise TargetError("deadline", "no time left", Verdict.NOT_RUN)
         if not is_resumed:
             if call.intent.service_kind is ServiceKind.MODEL:
-                self.mover.prepare(call.program, target)
+                self.mover.migrate_if_worthwhile(call.program, target)
             self.confirm_owned(call)
         priority = self.chooser.priority_of(call.program)
-        self.book.on_sent(target, call.intent.input_tokens, priority)
+        self.book.on_request_sent(target, call.intent.input_tokens, priority)
         try:
             if call.intent.service_kind is ServiceKind.MODEL:
-                outcome = self.models.attempt(
+                outcome = self.model_caller.attempt(
                     call, target, priority, is_resumed, max(seconds, 1)
                 )
             else:
                 outcome = self.attempt_plain(call, target, seconds)
         except TargetError as error:
-            self.book.on_failed(target, error.reason, priority)
+            self.book.on_request_failed(target, error.reason, priority)
             raise
         except BaseException:
-            self.book.on_done(target, priority)
+            self.book.on_request_succeeded(target, priority)
             raise
-        self.book.on_done(target, priority)
+        self.book.on_request_succeeded(target, priority)
         return outcome
 
-    def confirm_owned(self, call: Dispatch) -> None:
+    def confirm_owned(self, call: DispatchedCall) -> None:
         """Make sure that nobody has taken the program over, then send at once."""
         try:
             self.replicator.confirm_owned(call.program.partition)
@@ -184,7 +188,7 @@
             ) from problem
 
     def attempt_plain(
-        self, call: Dispatch, target: TargetState, seconds: float
+        self, call: DispatchedCall, target: TargetState, seconds: float
     ) -> CallFinished:
         """Call a plain service or tool once."""
         text = self.services.call(
@@ -199,7 +203,7 @@
         )
 
     def describe_failure(
-        self, call: Dispatch, error: TargetError, may_have_run: bool
+        self, call: DispatchedCall, error: TargetError, may_have_run: bool
     ) -> CallFinished:
         """Return the outcome of a call that is given up after `error`."""
         verdict = Verdict.MAY_HAVE_RUN if may_have_run else error.verdict
--- a/src/cedarchute/programs/model_caller.py
+++ b/src/cedarchute/programs/model_caller.py
@@ -6,7 +6,7 @@
 
 from cedarchute.programs.records import CallFinished
 from cedarchute.targets.generate_request import GenerateRequest
-from cedarchute.targets.stream_piece import StreamEnd, StreamPiece
+from cedarchute.targets.stream_chunk import StreamChunk, StreamEnd
 from cedarchute.targets.target_error import TargetError
 from cedarchute.verdict import Verdict
 
@@ -16,9 +16,9 @@
     from cedarchute.clock import Clock
     from cedarchute.metrics import Metrics
     from cedarchute.operators.configuration import Configuration
-    from cedarchute.programs.dispatch import Dispatch
+    from cedarchute.programs.dispatched_call import DispatchedCall
     from cedarchute.scheduling.prefix_index import PrefixIndex
-    from cedarchute.scheduling.shared_holds import SharedHolds
+    from cedarchute.scheduling.prefix_pinner import PrefixPinner
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.engine_client import EngineClient
 
@@ -32,7 +32,7 @@
         self,
         engines: EngineClient,
         prefix_index: PrefixIndex,
-        shared_holds: SharedHolds,
+        shared_holds: PrefixPinner,
         configuration: Configuration,
         clock: Clock,
         metrics: Metrics,
@@ -46,7 +46,7 @@
 
     def attempt(
         self,
-        call: Dispatch,
+        call: DispatchedCall,
         target: TargetState,
         priority: int,
         is_resumed: bool,
@@ -80,20 +80,22 @@
 
     def follow(
         self,
-        call: Dispatch,
+        call: DispatchedCall,
         target: TargetState,
-        stream: Iterable[StreamPiece | StreamEnd],
+        stream: Iterable[StreamChunk | StreamEnd],
     ) -> CallFinished:
         """Pass the pieces of a stream on and return the outcome at its end."""
         for item in stream:
-            if isinstance(item, StreamPiece):
+            if isinstance(item, StreamChunk):
                 call.program.partition.check_owned()
                 call.run.add(item.text)
                 if self.clock.wall() > call.intent.deadline:
                     self.engines.cancel(target.section.address, call.request_id)
                     raise TargetError("deadline", "time spent", Verdict.MAY_HAVE_RUN)
                 continue
-            target.learn(item.prompt_tokens, item.cached_tokens, item.completion_tokens)
+            target.record_completion(
+                item.prompt_tokens, item.cached_tokens, item.completion_tokens
+            )
             return CallFinished(
                 key=call.intent.key,
                 verdict=Verdict.RAN,
@@ -107,7 +109,7 @@
             )
         raise TargetError("target_broke_off", "no end", Verdict.MAY_HAVE_RUN)
 
-    def hold_shared(self, call: Dispatch, target: TargetState) -> None:
+    def hold_shared(self, call: DispatchedCall, target: TargetState) -> None:
         """Keep what the prompt shares with other programs at its target."""
         site = self.configuration.site
         if site is None or not site.is_program_aware:
@@ -115,19 +117,19 @@
         service = site.services.get(call.intent.service)
         if service is None:
             return
-        self.shared_holds.on_finished(
+        self.shared_holds.on_call_finished(
             target,
             service.model or "",
             call.program.prefixes,
             call.read_messages,
         )
 
-    def make_request(self, call: Dispatch, priority: int) -> GenerateRequest:
+    def make_request(self, call: DispatchedCall, priority: int) -> GenerateRequest:
         """Return what the engine is asked for."""
         site = self.configuration.site
         assert site is not None
         program = call.program
-        self.prefix_index.note(program.prefixes, program.id, call.entry.target)
+        self.prefix_index.record_prompt(program.prefixes, program.id, call.entry.target)
         return GenerateRequest(
             request_id=call.request_id,
             program=program.id,
--- a/src/cedarchute/programs/program.py
+++ b/src/cedarchute/programs/program.py
@@ -7,7 +7,7 @@
 from eventlet.semaphore import Semaphore
 
 from cedarchute.operators.site_file import ServiceKind
-from cedarchute.programs.call_entry import CallEntry
+from cedarchute.programs.call_state import CallState
 from cedarchute.programs.records import (
     CacheReleased,
     CallFinished,
@@ -53,22 +53,22 @@
         self.id = program_id
         self.partition = partition
         self.log = log
-        self.order = Semaphore(1)
+        self.turn_lock = Semaphore(1)
         self.runs: dict[str, CallRun] = {}
         self.opened: ProgramOpened | None = None
         self.ended: ProgramEnded | None = None
         self.is_ending = False
         self.is_ready = True
-        self.calls: dict[str, CallEntry] = {}
-        self.parts: dict[str, PartReserved] = {}
-        self.cached: dict[str, int] = {}
+        self.calls: dict[str, CallState] = {}
+        self.child_reservations: dict[str, PartReserved] = {}
+        self.cached_tokens_by_target: dict[str, int] = {}
         self.prefixes: tuple[bytes, ...] = ()
         self.last_target: str | None = None
         self.spent_tokens = 0
         self.spent_calls = 0
         self.attained_tokens = 0
-        self.touched_at = 0.0
-        self.takeovers = 0
+        self.last_active_at = 0.0
+        self.takeover_count = 0
 
     @classmethod
     def replay(
@@ -95,20 +95,20 @@
             case CallFinished():
                 self._on_finished(record, index)
             case PartReserved():
-                self.parts[record.child] = record
+                self.child_reservations[record.child] = record
             case PartReturned():
-                if self.parts.pop(record.child, None) is not None:
+                if self.child_reservations.pop(record.child, None) is not None:
                     self.spent_tokens += record.spent_tokens
                     self.spent_calls += record.spent_calls
             case ProgramEnded():
                 self.ended = record
             case CacheReleased():
-                self.cached.pop(record.target, None)
+                self.cached_tokens_by_target.pop(record.target, None)
             case TakenOver():
-                self.takeovers += 1
+                self.takeover_count += 1
 
     def _on_intended(self, record: CallIntended, index: int) -> None:
-        entry = CallEntry(
+        entry = CallState(
             key=record.key,
             digest=record.digest,
             service=record.service,
@@ -123,9 +123,9 @@
         self.calls[record.key] = entry
         self._on_target(entry)
 
-    def _on_target(self, entry: CallEntry) -> None:
+    def _on_target(self, entry: CallState) -> None:
         if entry.kind is ServiceKind.MODEL:
-            self.cached.setdefault(entry.target, 0)
+            self.cached_tokens_by_target.setdefault(entry.target, 0)
             self.last_target = entry.target
 
     def _on_finished(self, record: CallFinished, index: int) -> None:
@@ -140,7 +140,7 @@
         self.spent_calls += 1
         if entry.kind is ServiceKind.MODEL and record.verdict is Verdict.RAN:
             length = record.prompt_tokens + record.completion_tokens
-            self.cached[entry.target] = length
+            self.cached_tokens_by_target[entry.target] = length
             computed = length - record.cached_tokens
             self.attained_tokens += max(0, computed)
 
@@ -151,23 +151,23 @@
         return self.opened.workspace
 
     @property
-    def open_calls(self) -> list[CallEntry]:
+    def open_calls(self) -> list[CallState]:
         """The calls whose outcome is not known yet."""
         return [entry for entry in self.calls.values() if entry.is_open]
 
     @property
-    def left_tokens(self) -> int:
+    def remaining_tokens(self) -> int:
         """Tokens that may still be promised to calls or sub-agents."""
         assert self.opened is not None
         reserved = sum(entry.reserved_tokens for entry in self.open_calls)
-        parts = sum(part.tokens for part in self.parts.values())
+        parts = sum(part.tokens for part in self.child_reservations.values())
         return self.opened.budget.tokens - self.spent_tokens - reserved - parts
 
     @property
     def left_calls(self) -> int:
         """Calls that may still be promised to calls or sub-agents."""
         assert self.opened is not None
-        parts = sum(part.calls for part in self.parts.values())
+        parts = sum(part.calls for part in self.child_reservations.values())
         open_calls = len(self.open_calls)
         return self.opened.budget.calls - self.spent_calls - open_calls - parts
 
@@ -175,7 +175,7 @@
     def used_tokens(self) -> int:
         """Tokens spent, open calls and sub-agents' parts counted as spent."""
         assert self.opened is not None
-        return self.opened.budget.tokens - self.left_tokens
+        return self.opened.budget.tokens - self.remaining_tokens
 
     @property
     def used_calls(self) -> int:
@@ -194,13 +194,13 @@
             messages.append(ChatMessage(role="assistant", content=answer))
         return messages
 
-    def read_intent(self, entry: CallEntry) -> CallIntended:
+    def read_intent(self, entry: CallState) -> CallIntended:
         """Return the record of the intent of a call."""
         record = parse_record(self.log.records[entry.intent_index].text)
         assert isinstance(record, CallIntended)
         return record
 
-    def read_outcome(self, entry: CallEntry) -> CallFinished:
+    def read_outcome(self, entry: CallState) -> CallFinished:
         """Return the record of the outcome of a call."""
         record = parse_record(self.log.records[entry.finish_index].text)
         assert isinstance(record, CallFinished)
--- a/src/cedarchute/programs/home.py
+++ b/src/cedarchute/programs/program_registry.py
@@ -13,8 +13,8 @@
 )
 from cedarchute.copies.program_log import ProgramLog
 from cedarchute.problem import Problem
-from cedarchute.programs.budget_split import make_budget
-from cedarchute.programs.part_keeper import PartKeeper
+from cedarchute.programs.budget_limits import make_budget
+from cedarchute.programs.child_budgets import ChildBudgets
 from cedarchute.programs.program import Program
 from cedarchute.programs.program_id import mint_program_id, parse_partition
 from cedarchute.programs.records import (
@@ -34,25 +34,25 @@
     from cedarchute.operators.site_file import WorkspaceSection
     from cedarchute.programs.records import ProgramRecord
     from cedarchute.programs.requests import OpenRequest
-    from cedarchute.scheduling.admission import Admission
+    from cedarchute.scheduling.admission import AdmissionController
     from cedarchute.settings.box_settings import ServingSection
 
 log = logging.getLogger("cedarchute.programs")
 
-RECOVERING: Final = "recovering"
+RECOVERING_CODE: Final = "recovering"
 FULL_SECONDS: Final = 5.0
 RECOVERING_SECONDS: Final = 0.5
 RETRY_APPEND_SECONDS: Final = 0.5
 
 
-class ProgramHome:
+class ProgramRegistry:
     """Every program whose calls this box orders."""
 
     def __init__(
         self,
         replicator: Replicator,
         limits: WorkspaceLimits,
-        admission: Admission,
+        admission: AdmissionController,
         settings: ServingSection,
         own_partition: Callable[[], OwnedPartition],
         clock: Clock,
@@ -66,7 +66,7 @@
         self.clock = clock
         self.metrics = metrics
         self.programs: dict[str, Program] = {}
-        self.parts = PartKeeper(self, metrics)
+        self.child_budgets = ChildBudgets(self, metrics)
         self.ended_listeners: list[Callable[[Program], None]] = []
 
     def append(self, program: Program, records: Sequence[ProgramRecord]) -> None:
@@ -77,7 +77,7 @@
         """
         start = self.replicator.extend(program.partition, program.id, records)
         program.apply_all(records, start)
-        program.touched_at = self.clock.monotonic()
+        program.last_active_at = self.clock.monotonic()
         self.replicator.wait_kept(program.partition, program.id, start + len(records))
 
     def note(self, program: Program, record: ProgramRecord) -> None:
@@ -144,7 +144,7 @@
         )
         budget = make_budget(request, section)
         if parent is not None:
-            budget = self.parts.reserve(parent, program_id, request, budget)
+            budget = self.child_budgets.reserve(parent, program_id, request, budget)
         now = self.clock.wall()
         deadline = now + budget.seconds
         root_opened_at = now
@@ -162,7 +162,7 @@
         program_log = ProgramLog()
         partition.logs[program_id] = program_log
         program = Program(program_id, partition, program_log)
-        program.touched_at = self.clock.monotonic()
+        program.last_active_at = self.clock.monotonic()
         try:
             self.append(program, [opened])
         except Problem as problem:
@@ -230,16 +230,16 @@
         if program.ended is not None:
             return
         program.is_ending = True
-        for child in list(program.parts):
+        for child in list(program.child_reservations):
             if child in self.programs:
                 self.end(self.programs[child], f"parent {reason}")
-        with program.order:
+        with program.turn_lock:
             if program.ended is not None:
                 return
             now = self.clock.wall()
             self.append(program, [ProgramEnded(reason=reason, ended_at=now)])
         self.metrics.count("programs.ended")
-        self.parts.give_back(program)
+        self.child_budgets.give_back(program)
         for listener in self.ended_listeners:
             listener(program)
 
@@ -249,7 +249,7 @@
             if program.partition is not partition:
                 continue
             for run in program.runs.values():
-                run.move()
+                run.mark_moved()
             del self.programs[program_id]
         current = self.replicator.partitions.get(partition.name)
         if current is partition:
@@ -265,7 +265,7 @@
 def make_recovering_problem() -> Problem:
     """Return the problem of a program whose records are being read."""
     return Problem(
-        RECOVERING,
+        RECOVERING_CODE,
         "Another box has just taken the program over; ask again.",
         status=503,
         verdict=Verdict.MAY_HAVE_RUN,
--- a/src/cedarchute/programs/adopter.py
+++ b/src/cedarchute/programs/program_resumer.py
@@ -9,21 +9,21 @@
 from cedarchute.operators.site_file import ServiceKind
 from cedarchute.problem import Problem
 from cedarchute.programs.call_run import CallRun
-from cedarchute.programs.dispatch import Dispatch
+from cedarchute.programs.dispatched_call import DispatchedCall
 from cedarchute.programs.records import CallFinished, TakenOver
 from cedarchute.verdict import Verdict
 
 if TYPE_CHECKING:
     from cedarchute.metrics import Metrics
-    from cedarchute.programs.call_entry import CallEntry
+    from cedarchute.programs.call_state import CallState
     from cedarchute.programs.dispatcher import Dispatcher
-    from cedarchute.programs.home import ProgramHome
     from cedarchute.programs.program import Program
+    from cedarchute.programs.program_registry import ProgramRegistry
 
 log = logging.getLogger("cedarchute.takeover")
 
 
-class Adopter:
+class ProgramResumer:
     """Records the takeover of a program, then brings its open calls to an outcome.
 
     Parameters
@@ -35,7 +35,7 @@
     def __init__(
         self,
         box: str,
-        home: ProgramHome,
+        home: ProgramRegistry,
         dispatcher: Dispatcher,
         metrics: Metrics,
     ) -> None:
@@ -44,7 +44,7 @@
         self.dispatcher = dispatcher
         self.metrics = metrics
 
-    def adopt(self, program: Program) -> None:
+    def resume(self, program: Program) -> None:
         """Go on with a program that this box has taken over.
 
         An open call that may not be repeated is never sent again: its caller gets
@@ -55,7 +55,7 @@
             run = CallRun(entry.key, entry.digest, entry.attempt)
             runs[entry.key] = program.runs[entry.key] = run
         try:
-            with program.order:
+            with program.turn_lock:
                 self.home.append_surely(program, [TakenOver(owner=self.box)])
                 program.is_ready = True
                 for entry in list(program.open_calls):
@@ -63,7 +63,7 @@
         except (Problem, PartitionMovedError) as error:
             log.info("Takeover of %s interrupted: %s.", program.id, error)
             for run in runs.values():
-                run.move()
+                run.mark_moved()
         finally:
             for key in runs:
                 program.runs.pop(key, None)
@@ -71,7 +71,7 @@
             for listener in self.home.ended_listeners:
                 listener(program)
 
-    def finish_adopted(self, program: Program, entry: CallEntry, run: CallRun) -> None:
+    def finish_adopted(self, program: Program, entry: CallState, run: CallRun) -> None:
         """Bring one open call of a program taken over to its outcome."""
         if entry.kind is ServiceKind.PLAIN and not entry.repeatable:
             self.metrics.count("takeover.may_have_run")
@@ -87,7 +87,7 @@
             )
         else:
             intent = program.read_intent(entry)
-            call = Dispatch(program, intent, entry, run)
+            call = DispatchedCall(program, intent, entry, run)
             is_model = entry.kind is ServiceKind.MODEL
             outcome = self.dispatcher.dispatch(
                 call, is_resumed=is_model, may_have_run=True
--- a/src/cedarchute/programs/reaper.py
+++ b/src/cedarchute/programs/reaper.py
@@ -9,12 +9,15 @@
 
 from cedarchute.copies.owned_partition import PartitionMovedError
 from cedarchute.problem import Problem
-from cedarchute.programs.pack_limits import PACK_AFTER_SECONDS, PACK_AT_ONCE
+from cedarchute.programs.compression_limits import (
+    COMPRESS_AFTER_IDLE_SECONDS,
+    MAX_COMPRESSED_CHARACTERS,
+)
 
 if TYPE_CHECKING:
     from cedarchute.clock import Clock
-    from cedarchute.programs.home import ProgramHome
     from cedarchute.programs.program import Program
+    from cedarchute.programs.program_registry import ProgramRegistry
     from cedarchute.settings.box_settings import ServingSection
 
 log = logging.getLogger("cedarchute.programs")
@@ -31,7 +34,7 @@
     """
 
     def __init__(
-        self, home: ProgramHome, settings: ServingSection, clock: Clock
+        self, home: ProgramRegistry, settings: ServingSection, clock: Clock
     ) -> None:
         self.home = home
         self.settings = settings
@@ -41,7 +44,7 @@
         """End programs that are out of time or idle; forget ended ones."""
         while True:
             eventlet.sleep(PERIOD_SECONDS)
-            left = PACK_AT_ONCE
+            left = MAX_COMPRESSED_CHARACTERS
             for program in list(self.home.programs.values()):
                 self.reap(program)
                 if left > 0 and self.is_idle(program):
@@ -49,17 +52,20 @@
 
     def is_idle(self, program: Program) -> bool:
         """Return whether a program has had no call for a while."""
-        idle = self.clock.monotonic() - program.touched_at
-        return not program.runs and idle > PACK_AFTER_SECONDS
+        idle = self.clock.monotonic() - program.last_active_at
+        return not program.runs and idle > COMPRESS_AFTER_IDLE_SECONDS
 
     def reap(self, program: Program) -> None:
         """End or forget one program if it is due."""
         assert program.opened is not None
         now = self.clock.wall()
-        idle = self.clock.monotonic() - program.touched_at
+        idle = self.clock.monotonic() - program.last_active_at
         if program.ended is not None:
             kept = now - program.ended.ended_at
-            if not program.cached and kept > self.settings.keep_answers_seconds:
+            if (
+                not program.cached_tokens_by_target
+                and kept > self.settings.keep_answers_seconds
+            ):
                 self.home.forget(program)
             return
         if program.is_ending or not program.is_ready:
--- a/src/cedarchute/programs/target_chooser.py
+++ b/src/cedarchute/programs/target_chooser.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from cedarchute.scheduling.order import ProgramStanding, priority_of
 from cedarchute.scheduling.placement import PlacementRequest
 from cedarchute.scheduling.prefix_digests import digest_prefixes
+from cedarchute.scheduling.priority import PriorityInputs, compute_priority
 
 if TYPE_CHECKING:
     import random
@@ -17,7 +17,7 @@
     from cedarchute.programs.program import Program
     from cedarchute.programs.records import ChatMessage
     from cedarchute.scheduling.placement import PlacementPolicy
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.scheduling.target_state import TargetState
 
 
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetDirectory,
         policy: Callable[[], PlacementPolicy],
         configuration: Configuration,
         failure_domain: str,
@@ -49,7 +49,7 @@
         excluded: set[str],
     ) -> TargetState | None:
         """Return the target that a call should go to, or None."""
-        usable = self.book.usable(service, excluded)
+        usable = self.book.list_available(service, excluded)
         if not usable:
             return None
         if messages and not program.prefixes:
@@ -69,7 +69,7 @@
     def find_cached(self, program: Program) -> dict[str, int]:
         """Return what sound targets have cached, those that are leaving included."""
         found = {}
-        for name, tokens in program.cached.items():
+        for name, tokens in program.cached_tokens_by_target.items():
             target = self.book.find(name)
             if target is not None and target.failures == 0:
                 found[name] = tokens
@@ -82,10 +82,10 @@
         if site is None or opened is None or not site.is_program_aware:
             return 0
         workspace = site.workspaces.get(program.workspace)
-        standing = ProgramStanding(
+        standing = PriorityInputs(
             opened_at=opened.root_opened_at,
             age_seconds=self.clock.wall() - opened.root_opened_at,
             attained_tokens=program.attained_tokens,
             weight=workspace.weight if workspace else 1.0,
         )
-        return priority_of(site.site.order, standing)
+        return compute_priority(site.site.order, standing)
--- a/src/cedarchute/routing/route_book.py
+++ b/src/cedarchute/routing/active_route_table.py
@@ -15,7 +15,7 @@
 log = logging.getLogger("cedarchute.routing")
 
 
-class RouteBook:
+class ActiveRouteTable:
     """The configuration in force at this box, None before the first."""
 
     def __init__(self, metrics: Metrics) -> None:
@@ -35,7 +35,7 @@
                 self.first.wait()
         return self.table
 
-    def offer(self, table: RouteTable, source: str) -> bool:
+    def update_if_newer(self, table: RouteTable, source: str) -> bool:
         """Put a configuration in force if it is newer; return whether it was."""
         if table.version <= self.version:
             return False
--- a/src/cedarchute/routing/target_choice.py
+++ b/src/cedarchute/routing/load_balancer.py
@@ -39,7 +39,7 @@
     return slots[(len(slots) - 1) // 2]
 
 
-class TargetChoice:
+class LoadBalancer:
     """Least expected wait, from what this box has under way and has seen."""
 
     def __init__(
@@ -55,14 +55,14 @@
         self.chance = chance
         self.loads: defaultdict[str, TargetLoad] = defaultdict(TargetLoad)
 
-    def choose_service(self, route: Route) -> str:
+    def select_service(self, route: Route) -> str:
         """Return a service of a route, by chance in proportion to the shares."""
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
         return self.chance.choices(route.shares, weights)[0].service
 
-    def choose(
+    def select_target(
         self, service: str, tried: set[str], preferred: str = ""
     ) -> TargetEntry | None:
         """Return a target that was not tried yet, or None when there is none.
@@ -73,9 +73,9 @@
             The start of a target that holds what the call goes on from, if any.
         """
         ready = [e for e in self.registry.list_ready(service) if e.id not in tried]
-        sound = [e for e in ready if not self.loads[e.start].is_paused]
+        sound = [e for e in ready if not self.loads[e.incarnation].is_paused]
         for entry in sound:
-            if entry.start == preferred and self.has_room(entry):
+            if entry.incarnation == preferred and self.has_room(entry):
                 return entry
         candidates = sound or ready
         if not candidates:
@@ -92,20 +92,22 @@
         A target that was not used yet is expected to be like the others: were it
         better, each box would open a connection to every target.
         """
-        known = [self.loads[entry.start].seconds for entry in entries]
+        known = [
+            self.loads[entry.incarnation].mean_latency_seconds for entry in entries
+        ]
         seconds = [value for value in known if value is not None]
         return sum(seconds) / len(seconds) if seconds else 0.0
 
-    def forget_gone(self) -> None:
+    def prune_loads(self) -> None:
         """Forget what was learnt of starts of targets that are over."""
-        known = {entry.start for entry in self.registry.known.entries.values()}
+        known = {entry.incarnation for entry in self.registry.known.entries.values()}
         for start in [start for start in self.loads if start not in known]:
             if not self.loads[start].active:
                 del self.loads[start]
 
     def has_room(self, entry: TargetEntry) -> bool:
         """Whether a target has slots left, as far as this box's own calls tell."""
-        return self.loads[entry.start].active < entry.slots
+        return self.loads[entry.incarnation].active < entry.slots
 
     def estimate(
         self, entry: TargetEntry, usual: float, most_slots: int
@@ -119,8 +121,10 @@
         most_slots : int
             Slots beyond these count as these.
         """
-        load = self.loads[entry.start]
-        seconds = LEAST_SECONDS + (usual if load.seconds is None else load.seconds)
+        load = self.loads[entry.incarnation]
+        seconds = LEAST_SECONDS + (
+            usual if load.mean_latency_seconds is None else load.mean_latency_seconds
+        )
         wait = (load.active + 1) / min(entry.slots, most_slots) * seconds
         wait *= 1.0 + FAILURE_WEIGHT * load.failure_share
         if entry.failure_domain != self.failure_domain:
--- a/src/cedarchute/routing/route.py
+++ b/src/cedarchute/routing/route.py
@@ -35,7 +35,7 @@
         The time within which an answer, or its first event, is in time.
     rank : int
         Importance of the route; 0 goes first.
-    keeps_turns : bool
+    retains_turns : bool
         Whether calls are turns that bring only their new input.
     keep_seconds : float
         How long a turn is kept after its end.
@@ -52,8 +52,8 @@
     objective_seconds: float
     rank: int = 0
     max_targets: int = 1
-    keeps_turns: bool = False
-    keep_seconds: float = 0.0
+    retains_turns: bool = False
+    retention_seconds: float = 0.0
     is_public: bool = False
 
     @property
--- a/src/cedarchute/routing/target_entry.py
+++ b/src/cedarchute/routing/target_entry.py
@@ -22,7 +22,7 @@
         Whether it takes new work; a target that is leaving does not.
     slots : int
         Requests that it works on at once.
-    cold_seconds : float
+    warmup_seconds : float
         How long it stays slow, from its start.
     born_ms : int
         When it started, by its own clock, which may differ from all others: Unix
@@ -35,10 +35,10 @@
     failure_domain: str
     ready: bool
     slots: int
-    cold_seconds: float = 0.0
-    born_ms: int = 0
+    warmup_seconds: float = 0.0
+    started_at_ms: int = 0
 
     @cached_property
-    def start(self) -> str:
+    def incarnation(self) -> str:
         """Names this start of the target: what it holds is gone with it."""
-        return f"{self.id}@{self.born_ms}" if self.born_ms else self.id
+        return f"{self.id}@{self.started_at_ms}" if self.started_at_ms else self.id
--- a/src/cedarchute/routing/target_load.py
+++ b/src/cedarchute/routing/target_load.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.active = 0
-        self.seconds: float | None = None
+        self.mean_latency_seconds: float | None = None
         self.failures = 0
         self.failure_share = 0.0
         self.paused_until = 0.0
@@ -40,10 +40,12 @@
         self.failures = 0
         self.paused_until = 0.0
         self.failure_share -= NEWEST_WEIGHT * self.failure_share
-        if self.seconds is None:
-            self.seconds = seconds
+        if self.mean_latency_seconds is None:
+            self.mean_latency_seconds = seconds
         else:
-            self.seconds += NEWEST_WEIGHT * (seconds - self.seconds)
+            self.mean_latency_seconds += NEWEST_WEIGHT * (
+                seconds - self.mean_latency_seconds
+            )
 
     def record_failure(self) -> None:
         """Take in that the target failed without an answer."""
@@ -52,6 +54,6 @@
         self.failure_share += NEWEST_WEIGHT * (1.0 - self.failure_share)
         self.paused_until = time.monotonic() + min(pause, LONGEST_PAUSE_SECONDS)
 
-    def record_full(self, seconds: float) -> None:
+    def record_overload(self, seconds: float) -> None:
         """Take in that the target refused for want of room."""
         self.paused_until = max(self.paused_until, time.monotonic() + seconds)
--- a/src/cedarchute/routing/target_registry.py
+++ b/src/cedarchute/routing/target_registry.py
@@ -62,7 +62,7 @@
         """
         self.held_back.pop(entry.id, None)
         newest = self.newest_born_ms.get(entry.id, 0)
-        if entry.born_ms >= newest:
+        if entry.started_at_ms >= newest:
             self.take_in(entry)
             return
         until = time.monotonic() + HOLD_BACK_SECONDS
@@ -71,7 +71,7 @@
             "Target's entry held back.",
             extra={
                 "target": entry.id,
-                "born_ms": entry.born_ms,
+                "born_ms": entry.started_at_ms,
                 "newest_born_ms": newest,
             },
         )
@@ -80,10 +80,10 @@
         """Use an entry from now on."""
         self.remember_born(entry)
         before = self.known.put(entry.id, entry)
-        if before is not None and before.start != entry.start:
+        if before is not None and before.incarnation != entry.incarnation:
             log.info(
                 "Target started again.",
-                extra={"target": entry.id, "born_ms": entry.born_ms},
+                extra={"target": entry.id, "born_ms": entry.started_at_ms},
             )
             self.on_gone(before)
         elif before is not None and before.address != entry.address:
@@ -99,12 +99,12 @@
 
     def remember_born(self, entry: TargetEntry) -> None:
         """Remember the start of a target, also beyond the end of its entry."""
-        self.newest_born_ms[entry.id] = entry.born_ms
+        self.newest_born_ms[entry.id] = entry.started_at_ms
         self.newest_born_ms.move_to_end(entry.id)
         if len(self.newest_born_ms) > MOST_REMEMBERED:
             self.newest_born_ms.popitem(last=False)
 
-    def suspend(self, target: str) -> None:
+    def mark_not_ready(self, target: str) -> None:
         """Give a target nothing new: its entry cannot be read."""
         self.held_back.pop(target, None)
         known = self.known.entries.get(target)
--- a/src/cedarchute/scheduling/admission.py
+++ b/src/cedarchute/scheduling/admission.py
@@ -5,21 +5,21 @@
 from typing import TYPE_CHECKING, Final
 
 from cedarchute.problem import Problem
-from cedarchute.scheduling.target_book import is_leaving
+from cedarchute.scheduling.target_directory import is_draining
 
 if TYPE_CHECKING:
     import random
 
     from cedarchute.metrics import Metrics
     from cedarchute.operators.configuration import Configuration
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
 
 LEAST_WAIT_SECONDS: Final = 0.4
 MOST_EXCESS: Final = 10.0
 SPREAD: Final = 1.0
 
 
-class Admission:
+class AdmissionController:
     """Refuses new programs while the engines' queues are long.
 
     Programs under way are never refused for load: their history and cache are
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetDirectory,
         configuration: Configuration,
         random_source: random.Random,
         metrics: Metrics,
@@ -69,7 +69,7 @@
         """Return how many requests wait for each slot of the known engines."""
         waiting = slots = 0
         for target in self.book.targets.values():
-            if target.report is None or is_leaving(target):
+            if target.report is None or is_draining(target):
                 continue
             slots += target.report.max_running
             waiting += max(0, target.queued - target.report.max_running)
--- a/src/cedarchute/scheduling/load_poller.py
+++ b/src/cedarchute/scheduling/load_poller.py
@@ -13,7 +13,7 @@
     import random
 
     from cedarchute.operators.configuration import Configuration
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.engine_client import EngineClient
 
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetDirectory,
         configuration: Configuration,
         client: EngineClient,
         seconds: float,
--- a/src/cedarchute/scheduling/shared_name.py
+++ b/src/cedarchute/scheduling/pinned_prefix_key.py
@@ -22,12 +22,12 @@
     return f"{SHARED_PREFIX}.{start}.{int(seconds)}.{digest.hex()}"
 
 
-def is_shared_name(name: str) -> bool:
+def is_pinned_prefix_key(name: str) -> bool:
     """Return whether `name` holds a shared beginning, and no program's cache."""
     return name.startswith(f"{SHARED_PREFIX}.")
 
 
-def is_shared_name_over(name: str, now: float) -> bool:
+def is_pinned_prefix_expired(name: str, now: float) -> bool:
     """Return whether the span of a name and the one after it are over."""
     parts = name.split(".")
     if len(parts) != 4 or not parts[1].isdigit() or not parts[2].isdigit():
--- a/src/cedarchute/scheduling/policies.py
+++ b/src/cedarchute/scheduling/policy_selector.py
@@ -17,7 +17,7 @@
     from cedarchute.scheduling.prefix_index import PrefixIndex
 
 
-class PolicyChoice:
+class PolicySelector:
     """Holds the policy in force."""
 
     def __init__(self, index: PrefixIndex, clock: Clock) -> None:
--- a/src/cedarchute/scheduling/prefix_index.py
+++ b/src/cedarchute/scheduling/prefix_index.py
@@ -31,7 +31,9 @@
         self.clock = clock
         self.entries: OrderedDict[bytes, PrefixEntry] = OrderedDict()
 
-    def note(self, digests: Sequence[bytes], program: str, target: str) -> None:
+    def record_prompt(
+        self, digests: Sequence[bytes], program: str, target: str
+    ) -> None:
         """Note that a program's prompt was sent to a target."""
         now = self.clock.monotonic()
         for digest in digests:
@@ -55,7 +57,7 @@
             shared = number
         return shared * CHUNK_TOKENS
 
-    def count_held_tokens(self, digests: Sequence[bytes], target: str) -> int:
+    def count_cached_tokens(self, digests: Sequence[bytes], target: str) -> int:
         """Return how much of a beginning a target is believed to hold."""
         oldest = self.clock.monotonic() - BELIEVED_SECONDS
         held = 0
--- a/src/cedarchute/scheduling/shared_holds.py
+++ b/src/cedarchute/scheduling/prefix_pinner.py
@@ -8,8 +8,8 @@
 import eventlet
 
 from cedarchute.programs.records import ChatMessage
+from cedarchute.scheduling.pinned_prefix_key import make_shared_name
 from cedarchute.scheduling.prefix_digests import CHUNK_TOKENS
-from cedarchute.scheduling.shared_name import make_shared_name
 from cedarchute.targets.generate_request import GenerateRequest
 from cedarchute.targets.target_error import TargetError
 
@@ -32,7 +32,7 @@
 MOST_REMEMBERED: Final = 4096
 
 
-class SharedHolds:
+class PrefixPinner:
     """Makes a shared beginning belong to a name of its own at an engine.
 
     An engine frees what only an ended program needs. Without a name of its own a
@@ -62,7 +62,7 @@
         self.metrics = metrics
         self.not_before: dict[tuple[str, str], float] = {}
 
-    def on_finished(
+    def on_call_finished(
         self,
         target: TargetState,
         model: str,
--- a/src/cedarchute/scheduling/order.py
+++ b/src/cedarchute/scheduling/priority.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class ProgramStanding:
+class PriorityInputs:
     """What the order of programs depends on.
 
     Attributes
@@ -37,7 +37,7 @@
     weight: float
 
 
-def priority_of(order: Order, standing: ProgramStanding) -> int:
+def compute_priority(order: Order, standing: PriorityInputs) -> int:
     """Return the priority of a program's next call; lower goes first.
 
     Oldest first makes a program wait in one queue once, instead of at the end of
--- a/src/cedarchute/scheduling/program_aware.py
+++ b/src/cedarchute/scheduling/program_aware.py
@@ -86,7 +86,7 @@
     def count_cached(self, request: PlacementRequest, target: TargetState) -> int:
         """Return how much of the prompt the target is believed to have cached."""
         own = request.cached_tokens.get(target.name, 0)
-        shared = self.index.count_held_tokens(request.prefixes, target.name)
+        shared = self.index.count_cached_tokens(request.prefixes, target.name)
         return min(max(own, shared), request.prompt_tokens)
 
     def prompt_cost(
@@ -111,7 +111,7 @@
         report = target.report
         rate = report.prefill_tokens_per_second if report else DEFAULT_PREFILL_RATE
         uncached = max(0, request.prompt_tokens - cached_tokens)
-        if is_worth_moving(target, cached_tokens, movable_tokens):
+        if is_transfer_cheaper(target, cached_tokens, movable_tokens):
             assert report is not None
             moved = movable_tokens - cached_tokens
             moving = MOVE_SECONDS + moved / report.import_tokens_per_second
@@ -170,7 +170,7 @@
     return waiting / slots
 
 
-def is_worth_moving(
+def is_transfer_cheaper(
     target: TargetState, cached_tokens: int, movable_tokens: int
 ) -> bool:
     """Return whether a target should import a prompt's cache instead of computing it.
--- a/src/cedarchute/scheduling/target_book.py
+++ b/src/cedarchute/scheduling/target_directory.py
@@ -20,7 +20,7 @@
 LONGEST_REST_SECONDS: Final = 15.0
 
 
-class TargetBook:
+class TargetDirectory:
     """Follows the accepted file and the reports of targets.
 
     Parameters
@@ -44,14 +44,14 @@
         self.targets: dict[str, TargetState] = {}
         self.others: dict[str, TargetState] = {}
         self.by_service: dict[str, list[TargetState]] = {}
-        self.platform_leaving: frozenset[str] = frozenset()
+        self.platform_draining: frozenset[str] = frozenset()
 
     def on_configuration(self, accepted: AcceptedFile) -> None:
         """Take in an accepted file; what is known of kept targets stays."""
         self.site = accepted.site
         self.choose_own()
 
-    def on_ring(self, ring: BoxRing) -> None:
+    def on_ring_changed(self, ring: BoxRing) -> None:
         """Take in which boxes there are."""
         if ring.names != self.ring.names:
             self.ring = ring
@@ -99,14 +99,14 @@
         state = self.others[name] = TargetState(name, self.site.targets[name])
         return state
 
-    def usable(self, service: str, excluded: set[str]) -> list[TargetState]:
+    def list_available(self, service: str, excluded: set[str]) -> list[TargetState]:
         """Return the targets of `service` that may get new work now."""
         now = self.clock.monotonic()
         return [
             target
             for target in self.by_service.get(service, [])
-            if not is_leaving(target)
-            and target.name not in self.platform_leaving
+            if not is_draining(target)
+            and target.name not in self.platform_draining
             and target.name not in excluded
             and self.may_try(target, now)
         ]
@@ -117,30 +117,34 @@
             return True
         return now >= target.failing_until and not target.probing
 
-    def on_sent(self, target: TargetState, tokens: int, priority: int = 0) -> None:
+    def on_request_sent(
+        self, target: TargetState, tokens: int, priority: int = 0
+    ) -> None:
         """Note a request that goes to `target`, with `tokens` to compute."""
         target.in_flight += 1
         target.priorities.append(priority)
         target.sent_tokens_since += tokens
         target.probing = target.failures > 0
 
-    def on_done(self, target: TargetState, priority: int = 0) -> None:
+    def on_request_succeeded(self, target: TargetState, priority: int = 0) -> None:
         """Note that a request to `target` ended well."""
         target.in_flight -= 1
         target.priorities.remove(priority)
         target.failures = 0
         target.probing = False
 
-    def on_failed(self, target: TargetState, reason: str, priority: int = 0) -> None:
+    def on_request_failed(
+        self, target: TargetState, reason: str, priority: int = 0
+    ) -> None:
         """Note a failure; the target rests, unless it was only busy."""
         target.in_flight -= 1
         target.priorities.remove(priority)
         target.probing = False
         if reason in ("target_busy", "target_refused"):
             return
-        self.rest(target)
+        self.back_off(target)
 
-    def rest(self, target: TargetState) -> None:
+    def back_off(self, target: TargetState) -> None:
         """Leave a target alone for a while; for twice as long each time."""
         target.failures += 1
         rest = min(FIRST_REST_SECONDS * 2**target.failures, LONGEST_REST_SECONDS)
@@ -165,7 +169,7 @@
     return state
 
 
-def is_leaving(target: TargetState) -> bool:
+def is_draining(target: TargetState) -> bool:
     """Return whether operators or the target itself say that it is leaving."""
     reported = target.report is not None and target.report.leaving
     return reported or target.section.state is WantedState.LEAVING
--- a/src/cedarchute/scheduling/target_state.py
+++ b/src/cedarchute/scheduling/target_state.py
@@ -68,7 +68,9 @@
         ahead = sum(1 for other in self.priorities if other <= priority)
         return ahead / len(self.priorities)
 
-    def learn(self, prompt_tokens: int, cached_tokens: int, answer_tokens: int) -> None:
+    def record_completion(
+        self, prompt_tokens: int, cached_tokens: int, answer_tokens: int
+    ) -> None:
         """Take the counts of a finished answer into the means."""
         uncached = 1.0 - cached_tokens / prompt_tokens if prompt_tokens else 1.0
         self.uncached_share += LEARNING_RATE * (uncached - self.uncached_share)
--- a/src/cedarchute/targets/engine_client.py
+++ b/src/cedarchute/targets/engine_client.py
@@ -11,7 +11,7 @@
 
 from cedarchute.host_pools import HostPools
 from cedarchute.targets.load_report import LoadReport
-from cedarchute.targets.stream_piece import StreamEnd, StreamPiece
+from cedarchute.targets.stream_chunk import StreamChunk, StreamEnd
 from cedarchute.targets.target_error import (
     TargetError,
     describe_status,
@@ -49,7 +49,7 @@
 
     def generate(
         self, address: Address, request: GenerateRequest, seconds: float
-    ) -> Iterator[StreamPiece | StreamEnd]:
+    ) -> Iterator[StreamChunk | StreamEnd]:
         """Start an answer and yield its pieces, the end last.
 
         Raises
@@ -63,7 +63,7 @@
 
     def resume(
         self, address: Address, request_id: str, offset: int, seconds: float
-    ) -> Iterator[StreamPiece | StreamEnd]:
+    ) -> Iterator[StreamChunk | StreamEnd]:
         """Continue an answer at `offset` characters.
 
         Raises
@@ -93,7 +93,7 @@
         """Give an engine what another one has exported."""
         self._control("POST", address, "/cache/import", exported, MOVE_SECONDS)
 
-    def read_held(self, address: Address) -> list[str]:
+    def list_cached_programs(self, address: Address) -> list[str]:
         """Return the programs that the engine holds cache for."""
         return list(self._control("GET", address, "/cache/held")["programs"])
 
@@ -109,7 +109,9 @@
         """Return the model, version and fence of an engine."""
         return self._control("GET", address, "/state")
 
-    def order(self, address: Address, order: dict[str, object]) -> dict[str, Any]:
+    def send_command(
+        self, address: Address, order: dict[str, object]
+    ) -> dict[str, Any]:
         """Give an order; raise `TargetError` when it was refused or unanswered."""
         return self._control("POST", address, "/orders", order)
 
@@ -142,7 +144,7 @@
             raise TargetError("stream_unknown", path, Verdict.MAY_HAVE_RUN)
         raise describe_status(response)
 
-    def _read(self, response: BaseHTTPResponse) -> Iterator[StreamPiece | StreamEnd]:
+    def _read(self, response: BaseHTTPResponse) -> Iterator[StreamChunk | StreamEnd]:
         buffer = b""
         is_whole = False
         try:
@@ -195,7 +197,7 @@
             raise TargetError("bad_answer", path, Verdict.MAY_HAVE_RUN) from error
 
 
-def parse_events(data: bytes) -> Iterator[StreamPiece | StreamEnd]:
+def parse_events(data: bytes) -> Iterator[StreamChunk | StreamEnd]:
     """Yield what some whole events say; the texts joined to one piece.
 
     An engine sends one event for each token. Joining those that arrived together
@@ -221,6 +223,6 @@
                 completion_tokens=usage["completion_tokens"],
             )
     if texts:
-        yield StreamPiece("".join(texts), tokens)
+        yield StreamChunk("".join(texts), tokens)
     if end is not None:
         yield end
--- a/src/cedarchute/targets/orders/order_keeper.py
+++ b/src/cedarchute/targets/orders/engine_reconciler.py
@@ -31,7 +31,7 @@
 STOP_EARLY_SECONDS: Final = 4.0
 
 
-class OrderKeeper:
+class EngineReconciler:
     """Compares what engines serve with what they should, and orders the rest.
 
     Only `loads_at_once` boxes order, each one target at a time: that bounds what
@@ -130,7 +130,7 @@
         if self.clock.monotonic() - started > TERM_SECONDS - STOP_EARLY_SECONDS:
             self.metrics.count_refusal("order_term_over")
             return
-        self.engines.order(target.address, {**wanted, "fence": term.fence})
+        self.engines.send_command(target.address, {**wanted, "fence": term.fence})
         self.metrics.count("orders.given")
         log.info("Ordered %s to serve %s under %d.", name, wanted, term.fence)
 
--- a/src/cedarchute/targets/stream_piece.py
+++ b/src/cedarchute/targets/stream_chunk.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class StreamPiece:
+class StreamChunk:
     """Some text, made of `tokens` tokens."""
 
     text: str
--- a/src/cedarchute/turns/seat_book.py
+++ b/src/cedarchute/turns/active_seat_table.py
@@ -13,13 +13,13 @@
 log = logging.getLogger("cedarchute.turns")
 
 
-class SeatBook:
+class ActiveSeatTable:
     """Never goes back to an older table."""
 
     def __init__(self) -> None:
         self.table: SeatTable = EMPTY
 
-    def offer(self, table: SeatTable, source: str) -> bool:
+    def update(self, table: SeatTable, source: str) -> bool:
         """Take a table over if it is newer; return whether it was."""
         if table.version <= self.table.version:
             return False
--- a/src/cedarchute/turns/catch_up.py
+++ b/src/cedarchute/turns/catch_up.py
@@ -13,10 +13,10 @@
 from cedarchute.turns.messages import CopiedRecords, CopyRecords
 
 if TYPE_CHECKING:
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.holder_client import HolderClient
-    from cedarchute.turns.seat_book import SeatBook
     from cedarchute.turns.seat_table import Seat, SeatTable
-    from cedarchute.turns.turn_book import TurnBook
+    from cedarchute.turns.turn_storage import TurnStorage
 
 log = logging.getLogger("cedarchute.turns")
 
@@ -38,7 +38,9 @@
     no record that the old holder acknowledged can come after that.
     """
 
-    def __init__(self, client: HolderClient, book: TurnBook, seats: SeatBook) -> None:
+    def __init__(
+        self, client: HolderClient, book: TurnStorage, seats: ActiveSeatTable
+    ) -> None:
         self.client = client
         self.book = book
         self.seats = seats
@@ -72,7 +74,7 @@
                 )
             except HolderRefusedError as error:
                 if error.refusal.table is not None:
-                    self.seats.offer(error.refusal.table, seat.box)
+                    self.seats.update(error.refusal.table, seat.box)
                 if error.refusal.is_empty:
                     return CopyOutcome.EMPTY
                 return CopyOutcome.SILENT
@@ -80,7 +82,7 @@
                 log.info("Not copied.", extra={"box": seat.box, "why": str(error)})
                 return CopyOutcome.SILENT
             if page.records:
-                self.book.take(list(page.records))
+                self.book.write(list(page.records))
             count += len(page.records)
             after = page.next
             if not after:
--- a/src/cedarchute/turns/evacuation.py
+++ b/src/cedarchute/turns/evacuation.py
@@ -9,11 +9,11 @@
 from cedarchute.turns.messages import RecordsTaken, TakeRecords
 
 if TYPE_CHECKING:
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.holder_client import HolderClient
     from cedarchute.turns.records import Record
-    from cedarchute.turns.seat_book import SeatBook
     from cedarchute.turns.seat_table import SeatTable
-    from cedarchute.turns.turn_book import TurnBook
+    from cedarchute.turns.turn_storage import TurnStorage
 
 log = logging.getLogger("cedarchute.turns")
 
@@ -25,7 +25,9 @@
     once this disk is gone, as many copies as before have to be left.
     """
 
-    def __init__(self, client: HolderClient, book: TurnBook, seats: SeatBook) -> None:
+    def __init__(
+        self, client: HolderClient, book: TurnStorage, seats: ActiveSeatTable
+    ) -> None:
         self.client = client
         self.book = book
         self.seats = seats
--- a/src/cedarchute/turns/turn_writer.py
+++ b/src/cedarchute/turns/group_commit_writer.py
@@ -18,7 +18,7 @@
 log = logging.getLogger("cedarchute.turns")
 
 
-class TurnWriter:
+class GroupCommitWriter:
     """One task writes; what comes meanwhile goes with the next sync."""
 
     def __init__(self, journal: TurnJournal, metrics: Metrics) -> None:
--- a/src/cedarchute/turns/holder.py
+++ b/src/cedarchute/turns/holder.py
@@ -16,6 +16,7 @@
 from cedarchute.turns.records import Reserved
 
 if TYPE_CHECKING:
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.messages import (
         Addressed,
         AskStanding,
@@ -26,10 +27,9 @@
         TakeRecords,
     )
     from cedarchute.turns.records import Record, Turn
-    from cedarchute.turns.seat_book import SeatBook
     from cedarchute.turns.seat_table import SeatTable
-    from cedarchute.turns.seen_table import SeenTable
-    from cedarchute.turns.turn_book import TurnBook
+    from cedarchute.turns.seat_version_file import SeatVersionFile
+    from cedarchute.turns.turn_storage import TurnStorage
 
 PAGE_BYTES: Final = 1_000_000
 
@@ -52,7 +52,11 @@
     """Answers by the newest table; says nothing before it has caught up."""
 
     def __init__(
-        self, book: TurnBook, seats: SeatBook, disk: str, seen: SeenTable
+        self,
+        book: TurnStorage,
+        seats: ActiveSeatTable,
+        disk: str,
+        seen: SeatVersionFile,
     ) -> None:
         self.book = book
         self.seats = seats
@@ -89,7 +93,7 @@
         )
         turns = self.book.find(message.program)
         turns.note_heard()
-        self.book.take([reserved])
+        self.book.write([reserved])
         age = turns.age_seconds
         if not message.previous:
             return TurnBegun(turns.spent, budget=turns.budget, age_seconds=age)
@@ -103,7 +107,7 @@
     def take_records(self, message: TakeRecords) -> RecordsTaken:
         """Write records down."""
         self.check(message)
-        self.book.take(list(message.records))
+        self.book.write(list(message.records))
         return RecordsTaken()
 
     def read_account(self, message: ReadAccount) -> Account:
@@ -129,7 +133,7 @@
 
     def copy_records(self, message: CopyRecords) -> CopiedRecords:
         """Hand a page of the records of one seat to its new holder."""
-        self.seats.offer(message.table, "holder")
+        self.seats.update(message.table, "holder")
         if message.table.version < self.seats.table.version:
             raise HolderError("the table of seats is old", self.seats.table)
         self.note_table()
--- a/src/cedarchute/turns/holder_app.py
+++ b/src/cedarchute/turns/holder_app.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from cedarchute.turns.quota_keeper import QuotaKeeper
+    from cedarchute.turns.quota_server import QuotaServer
 
 log = logging.getLogger("cedarchute.turns")
 
@@ -34,7 +34,7 @@
 class HolderApp:
     """Reads a message, lets the holder answer it, writes the answer."""
 
-    def __init__(self, holder: Holder, quotas: QuotaKeeper) -> None:
+    def __init__(self, holder: Holder, quotas: QuotaServer) -> None:
         self.handlers: dict[str, tuple[type, Callable[[Any], object]]] = {
             "/turns/begin": (BeginTurn, holder.begin_turn),
             "/turns/take": (TakeRecords, holder.take_records),
--- a/src/cedarchute/turns/holder_fanout.py
+++ b/src/cedarchute/turns/holder_fanout.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.holder_client import HolderClient
-    from cedarchute.turns.seat_book import SeatBook
     from cedarchute.turns.seat_table import Seat, SeatTable
 
 log = logging.getLogger("cedarchute.turns")
@@ -27,10 +27,10 @@
 AnswerT = TypeVar("AnswerT")
 
 # Between two rounds when too few answered.
-PAUSE_SECONDS: Final = 0.1
+RETRY_DELAY_SECONDS: Final = 0.1
 # An answer with the text of a chain is worth this wait beyond the quorum's: about
 # what asking for it separately takes.
-WANTED_SECONDS: Final = 0.01
+PREFERRED_WAIT_SECONDS: Final = 0.01
 # Another holder is asked when those asked first take this long: several times what an
 # answer with a synced write takes.
 HEDGE_SECONDS: Final = 0.04
@@ -38,7 +38,7 @@
 LATE_SECONDS: Final = 2.0
 # After this long without one answer that decides, this box is cut off from the
 # holders: callers are served better elsewhere.
-CUT_OFF_SECONDS: Final = 0.5
+ISOLATED_AFTER_SECONDS: Final = 0.5
 # Then a question whose caller can go elsewhere is given up after this long; it is
 # enough for holders that answer again. Others wait: holders may only be slow.
 HOPELESS_SECONDS: Final = 0.1
@@ -95,18 +95,18 @@
 class HolderFanout:
     """Asks by the newest table; a holder that knows a newer one tells it."""
 
-    def __init__(self, seats: SeatBook, client: HolderClient) -> None:
+    def __init__(self, seats: ActiveSeatTable, client: HolderClient) -> None:
         self.seats = seats
         self.client = client
         self.failing_since: float | None = None
         self.late: dict[str, float] = {}
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether no question has been decided for a while."""
         if self.failing_since is None:
             return False
-        return time.monotonic() - self.failing_since > CUT_OFF_SECONDS
+        return time.monotonic() - self.failing_since > ISOLATED_AFTER_SECONDS
 
     def note_unreached(self) -> None:
         """Take in that holders asked in another way did not answer either."""
@@ -121,7 +121,7 @@
             When they do not within the time of the question.
         """
         started = time.monotonic()
-        gives_up_early = self.is_cut_off and not question.is_patient
+        gives_up_early = self.is_isolated and not question.is_patient
         seconds = HOPELESS_SECONDS if gives_up_early else question.seconds
         deadline = started + seconds
         while True:
@@ -133,9 +133,9 @@
                 self.failing_since = None
                 return answers
             self.failing_since = self.failing_since or started
-            if not is_old and time.monotonic() + PAUSE_SECONDS > deadline:
+            if not is_old and time.monotonic() + RETRY_DELAY_SECONDS > deadline:
                 raise NoQuorumError(f"only {len(answers)} holders answer")
-            eventlet.sleep(0 if is_old else PAUSE_SECONDS)
+            eventlet.sleep(0 if is_old else RETRY_DELAY_SECONDS)
 
     def ask_once(
         self, table: SeatTable, question: Question[AnswerT], deadline: float
@@ -156,7 +156,7 @@
                 continue
             if question.wanted is None or question.wanted in answers:
                 break
-            deadline = min(deadline, time.monotonic() + WANTED_SECONDS)
+            deadline = min(deadline, time.monotonic() + PREFERRED_WAIT_SECONDS)
         return answers, is_old
 
     def order_seats(self, numbers: list[int], table: SeatTable) -> list[int]:
@@ -188,7 +188,7 @@
             )
         except HolderRefusedError as error:
             table = error.refusal.table
-            newer = table is not None and self.seats.offer(table, seat.box)
+            newer = table is not None and self.seats.update(table, seat.box)
             self.note_late(seat)
             log.info("Holder refused.", extra={"box": seat.box, "why": str(error)})
         except HolderUnavailableError as error:
--- a/src/cedarchute/turns/quota_client.py
+++ b/src/cedarchute/turns/quota_client.py
@@ -35,7 +35,7 @@
 MOST_REMEMBERED: Final = 1024
 
 
-class NoKeeperError(Exception):
+class NoQuotaServerError(Exception):
     """None of the keepers of a limit answered."""
 
     code = "no_keeper"
@@ -86,7 +86,7 @@
 
         Raises
         ------
-        NoKeeperError
+        NoQuotaServerError
             When that is not known.
         """
         kind = (workspace, begins_program)
@@ -94,8 +94,8 @@
         refusal = self.refused.get(kind)
         if refusal is not None and now < refusal.believed_until:
             return QuotaGrant(False, refusal.passes_at - now, refusal.level)
-        if self.fanout.is_cut_off:
-            raise NoKeeperError("this box is cut off from the holders")
+        if self.fanout.is_isolated:
+            raise NoQuotaServerError("this box is cut off from the holders")
         numbers = self.find_seats(workspace)
         message = AskQuota(
             workspace=workspace,
@@ -118,7 +118,7 @@
         if not answers:
             # Callers are sent elsewhere by that, and no call waits for silence again.
             self.fanout.note_unreached()
-            raise NoKeeperError(f"none of {len(seats)} keepers answers")
+            raise NoQuotaServerError(f"none of {len(seats)} keepers answers")
         seat, soonest = min(answers, key=lambda pair: pair[1].wait_seconds)
         if not begins_program and soonest.wait_seconds <= patience_seconds:
             patient = replace(message, patience_seconds=patience_seconds)
--- a/src/cedarchute/turns/quota_keeper.py
+++ b/src/cedarchute/turns/quota_server.py
@@ -18,7 +18,7 @@
 MOST_SHARES: Final = 4096
 
 
-class QuotaKeeper:
+class QuotaServer:
     """Answers for the workspaces whose calls it is asked about."""
 
     def __init__(self, tolerance: QuotaTolerance, clock: Clock) -> None:
@@ -42,6 +42,6 @@
             if len(self.shares) > MOST_SHARES:
                 self.shares.popitem(last=False)
         self.shares.move_to_end(message.workspace)
-        share.note_limit(limit)
-        grant = share.ask(message.begins_program, message.patience_seconds)
+        share.update_limit(limit)
+        grant = share.acquire(message.begins_program, message.patience_seconds)
         return QuotaAnswered(grant.granted, grant.wait_seconds, grant.level)
--- a/src/cedarchute/turns/seat_keeper.py
+++ b/src/cedarchute/turns/seat_manager.py
@@ -26,12 +26,12 @@
     from cedarchute.fleet.box_directory import BoxDirectory
     from cedarchute.platform.retirements import Retirements
     from cedarchute.platform.store_client import StoreClient
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.catch_up import CatchUp
     from cedarchute.turns.disk_identity import DiskIdentity
     from cedarchute.turns.evacuation import Evacuation
     from cedarchute.turns.holder import Holder
     from cedarchute.turns.holder_client import HolderClient
-    from cedarchute.turns.seat_book import SeatBook
 
 log = logging.getLogger("cedarchute.turns")
 
@@ -54,13 +54,13 @@
 SUCCESSOR_SECONDS: Final = 2.0
 
 
-class SeatKeeper:
+class SeatManager:
     """Decides about this holder's seat only; the store decides between holders."""
 
     def __init__(
         self,
         store: StoreClient,
-        seats: SeatBook,
+        seats: ActiveSeatTable,
         holder: Holder,
         identity: DiskIdentity,
         folder: Path,
@@ -221,16 +221,16 @@
             if stored.version == 0:
                 return
             if stored.version != table.version - 1:
-                self.seats.offer(stored, "store")
+                self.seats.update(stored, "store")
                 return
         elif table.version != 1:
             return
         text = msgspec.json.encode(table).decode()
         result = self.store.swap(SEATS_KEY, text, current.version if current else 0)
         if result.won:
-            self.seats.offer(table, "own change")
+            self.seats.update(table, "own change")
         elif result.current is not None:
-            self.seats.offer(self.read_stored(result.current.value), "store")
+            self.seats.update(self.read_stored(result.current.value), "store")
 
     def read_stored(self, text: str) -> SeatTable:
         """Return the table in the store; the one in force where that is none.
--- a/src/cedarchute/turns/seen_table.py
+++ b/src/cedarchute/turns/seat_version_file.py
@@ -20,7 +20,7 @@
     version: int
 
 
-class SeenTable:
+class SeatVersionFile:
     """Remembers a version across restarts; it never goes back.
 
     A holder that takes another's place relies on every other holder having left the
--- a/src/cedarchute/turns/turn_admission.py
+++ b/src/cedarchute/turns/turn_admission.py
@@ -19,7 +19,7 @@
     age_seconds: float | None = None
 
 
-class ProgramStanding(Record):
+class ProgramUsage(Record):
     """Tokens generated or reserved, and the time since it was first asked about."""
 
     spent: int
--- a/src/cedarchute/turns/turn_quorum.py
+++ b/src/cedarchute/turns/turn_quorum.py
@@ -28,7 +28,7 @@
 )
 from cedarchute.turns.records import Settled
 from cedarchute.turns.turn_admission import (
-    ProgramStanding,
+    ProgramUsage,
     TurnAdmission,
     find_age,
 )
@@ -37,9 +37,9 @@
     from collections.abc import Callable
 
     from cedarchute.metrics import Metrics
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.holder_client import HolderClient
     from cedarchute.turns.records import Record
-    from cedarchute.turns.seat_book import SeatBook
     from cedarchute.turns.seat_table import SeatTable
 
 log = logging.getLogger("cedarchute.turns")
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        seats: SeatBook,
+        seats: ActiveSeatTable,
         client: HolderClient,
         failure_domain: str,
         metrics: Metrics,
@@ -154,7 +154,7 @@
         if spent + tokens > budget:
             raise BudgetSpentError(f"{spent} of {budget} tokens spent, {tokens} asked")
 
-    def read_standing(self, program: str) -> ProgramStanding:
+    def read_usage(self, program: str) -> ProgramUsage:
         """Return what is known of a program, without booking anything."""
 
         def build(table: SeatTable, number: int) -> AskStanding:
@@ -164,7 +164,7 @@
         path = "/turns/standing"
         answers = self.ask(program, path, Standing, build, ANSWER_SECONDS).values()
         spent = max(answer.spent for answer in answers)
-        return ProgramStanding(spent, find_age([a.age_seconds for a in answers]))
+        return ProgramUsage(spent, find_age([a.age_seconds for a in answers]))
 
     def read_accounts(
         self, program: str, is_patient: bool = False
@@ -186,17 +186,17 @@
 
     def settle(self, program: str, turn: str, tokens: int) -> None:
         """Record what a turn that did not end whole has generated; do not wait."""
-        eventlet.spawn_n(self.try_settle, Settled(program, turn, tokens))
+        eventlet.spawn_n(self.settle_or_log, Settled(program, turn, tokens))
 
-    def try_settle(self, record: Settled) -> None:
+    def settle_or_log(self, record: Settled) -> None:
         """Settle a turn; a reservation that stays counts as spent."""
         try:
-            self.take(record)
+            self.write(record)
         except NoQuorumError:
             self.metrics.count("turns.not_settled")
             log.warning("Reservation stays.", extra={"turn": record.turn})
 
-    def take(self, record: Record) -> None:
+    def write(self, record: Record) -> None:
         """Write a record down at a quorum; raise `NoQuorumError` if it failed."""
 
         def build(table: SeatTable, number: int) -> TakeRecords:
--- a/src/cedarchute/turns/turn_book.py
+++ b/src/cedarchute/turns/turn_storage.py
@@ -9,14 +9,14 @@
 from cedarchute.turns.records import Turn
 
 if TYPE_CHECKING:
+    from cedarchute.turns.group_commit_writer import GroupCommitWriter
     from cedarchute.turns.records import Record
-    from cedarchute.turns.turn_writer import TurnWriter
 
 
-class TurnBook:
+class TurnStorage:
     """Takes records in; they count once they are on the disk."""
 
-    def __init__(self, writer: TurnWriter) -> None:
+    def __init__(self, writer: GroupCommitWriter) -> None:
         self.writer = writer
         self.programs: dict[str, ProgramTurns] = {}
         self.program_of: dict[str, str] = {}
@@ -60,7 +60,7 @@
             found = self.programs[program] = ProgramTurns()
         return found
 
-    def take(self, records: list[Record]) -> None:
+    def write(self, records: list[Record]) -> None:
         """Apply records, and return once they are on the disk.
 
         Records known already are written again: the first write may have failed.
@@ -69,7 +69,7 @@
             self.apply(record)
         self.writer.write(records)
 
-    def drop_over(self) -> int:
+    def drop_expired(self) -> int:
         """Forget the programs that nobody may ask for; return how many."""
         now = time.monotonic()
         over = [p for p, turns in self.programs.items() if turns.is_over(now)]
--- a/src/experiments/bench_summary.py
+++ b/src/experiments/bench_summary.py
@@ -8,7 +8,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from cedarchute.scheduling.shared_name import is_shared_name
+from cedarchute.scheduling.pinned_prefix_key import is_pinned_prefix_key
 
 if TYPE_CHECKING:
     from experiments.load_run import LoadResult
@@ -69,7 +69,7 @@
         made.update(blocks["made"])
         tokens = site.http.get(address, "/cache/held")["tokens"]
         for holder, count in tokens.items():
-            held["shared" if is_shared_name(holder) else "programs"] += count
+            held["shared" if is_pinned_prefix_key(holder) else "programs"] += count
     needed = len(distinct - made) * BLOCK_TOKENS
     again = max(0, computed - needed) / computed if computed else 0.0
     return {
--- a/src/experiments/demo.py
+++ b/src/experiments/demo.py
@@ -12,7 +12,7 @@
 from typing import Any, Final
 
 from cedarchute.cli.output import format_table
-from cedarchute.scheduling.shared_name import is_shared_name
+from cedarchute.scheduling.pinned_prefix_key import is_pinned_prefix_key
 from experiments.box_timing import BoxTiming
 from experiments.caller import Caller
 from experiments.local_site import LocalSite
@@ -142,7 +142,7 @@
         if target.service == "agent-llm":
             found = site.http.get(site.target_address(name), "/cache/held")
             tokens = found["tokens"].items()
-            held += sum(n for name, n in tokens if not is_shared_name(name))
+            held += sum(n for name, n in tokens if not is_pinned_prefix_key(name))
     return held
 
 
--- a/src/experiments/overload/box.py
+++ b/src/experiments/overload/box.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from cedarchute.decisions.aim_use import AimUse
-from cedarchute.decisions.pace_meter import PaceMeter
+from cedarchute.decisions.deadline_usage import DeadlineUsage
 from cedarchute.decisions.program_admission import (
     AdmissionDecision,
     AdmissionInputs,
+    compute_shedding_hash,
     decide_admission,
-    find_standing,
 )
+from cedarchute.decisions.slowdown_meter import SlowdownMeter
 from experiments.overload.engine import RunningCall
 
 if TYPE_CHECKING:
-    from cedarchute.routing.target_choice import TargetChoice
+    from cedarchute.routing.load_balancer import LoadBalancer
     from experiments.overload.engine import ModelEngine
     from experiments.overload.timeline import Timeline
 
@@ -41,7 +41,7 @@
 
     program: str
     kind: str
-    aim_seconds: float
+    soft_deadline_seconds: float
     waited_seconds: float
     prompt_tokens: int
     tokens: int
@@ -54,24 +54,24 @@
         self,
         timeline: Timeline,
         engines: dict[str, ModelEngine],
-        choice: TargetChoice,
+        choice: LoadBalancer,
         rule: AdmissionRule = decide_admission,
     ) -> None:
         self.timeline = timeline
         self.engines = engines
         self.choice = choice
         self.rule = rule
-        self.meter = PaceMeter()
-        self.uses: defaultdict[str, AimUse] = defaultdict(AimUse)
+        self.meter = SlowdownMeter()
+        self.uses: defaultdict[str, DeadlineUsage] = defaultdict(DeadlineUsage)
 
     def decide(self, turn: ModelTurn, ranks_behind: int) -> AdmissionDecision:
         """Return whether the first turn of a program is let in."""
         inputs = AdmissionInputs(
             slowdown=self.meter.measure_slowdown(self.timeline.now),
-            usual_use=self.uses[turn.kind].share,
-            ranks_behind=ranks_behind,
-            standing=find_standing(turn.program),
-            aim_seconds=turn.aim_seconds,
+            typical_deadline_usage=self.uses[turn.kind].share,
+            lower_ranks=ranks_behind,
+            shedding_hash=compute_shedding_hash(turn.program),
+            soft_deadline_seconds=turn.soft_deadline_seconds,
             waited_seconds=turn.waited_seconds,
         )
         return self.rule(inputs)
@@ -79,7 +79,9 @@
     def send(self, turn: ModelTurn, on_end: ModelTurnEnd, preferred: str) -> bool:
         """Send a turn to an engine; return whether one took it."""
         tried: set[str] = set()
-        while (target := self.choice.choose("model", tried, preferred)) is not None:
+        while (
+            target := self.choice.select_target("model", tried, preferred)
+        ) is not None:
             tried.add(target.id)
             sent = SentTurn(self, turn, target.id, on_end)
             call = RunningCall(turn.prompt_tokens, turn.tokens, sent.take_event)
@@ -120,10 +122,10 @@
         """Take an event in, as the relay of a stream does."""
         now = self.box.timeline.now
         if self.has_begun:
-            self.box.meter.record_pauses(self.engine, now, now - self.last_at, 1)
+            self.box.meter.record_event_gaps(self.engine, now, now - self.last_at, 1)
         else:
             self.box.meter.end_wait(self.wait)
-            self.box.meter.record_first(self.engine, now, now - self.sent_at)
+            self.box.meter.record_first_event(self.engine, now, now - self.sent_at)
         self.has_begun = True
         self.last_at = now
         if is_last:
@@ -139,4 +141,4 @@
         took = now - self.sent_at
         use = self.box.uses[self.turn.kind]
         used = self.turn.waited_seconds + took
-        use.record_turn(now, slowdown, used, self.turn.aim_seconds - took)
+        use.record_turn(now, slowdown, used, self.turn.soft_deadline_seconds - took)
--- a/src/experiments/overload/program.py
+++ b/src/experiments/overload/program.py
@@ -28,7 +28,7 @@
 
     kind: str
     began_at: float
-    aim_seconds: float
+    soft_deadline_seconds: float
     turns: int
     tries_refused: int = 0
     ended_at: float | None = None
@@ -39,7 +39,7 @@
         """Whether it ended in time."""
         if self.ended_at is None:
             return False
-        return self.ended_at - self.began_at <= self.aim_seconds
+        return self.ended_at - self.began_at <= self.soft_deadline_seconds
 
 
 @dataclass(frozen=True)
@@ -118,7 +118,7 @@
         return ModelTurn(
             program=self.program.name,
             kind=self.program.kind.name,
-            aim_seconds=max(0.0, result.aim_seconds - passed),
+            soft_deadline_seconds=max(0.0, result.soft_deadline_seconds - passed),
             waited_seconds=passed,
             prompt_tokens=step.prompt_tokens,
             tokens=step.tokens,
--- a/src/experiments/overload/replay.py
+++ b/src/experiments/overload/replay.py
@@ -8,7 +8,7 @@
 
 from cedarchute.address import Address
 from cedarchute.decisions.program_admission import decide_admission
-from cedarchute.routing.target_choice import TargetChoice
+from cedarchute.routing.load_balancer import LoadBalancer
 from cedarchute.routing.target_entry import TargetEntry
 from experiments.overload.box import ModelBox
 from experiments.overload.engine import ModelEngine
@@ -63,7 +63,7 @@
             for name in self.engines
         ]
         registry = FixedTargets(entries)
-        choice = TargetChoice(registry, "a", self.chance, lambda address: True)
+        choice = LoadBalancer(registry, "a", self.chance, lambda address: True)
         return ModelBox(self.timeline, self.engines, choice, rule)
 
     def run(self) -> list[ProgramResult]:
--- a/src/experiments/slope_data.py
+++ b/src/experiments/slope_data.py
@@ -8,7 +8,10 @@
 
 import numpy as np
 
-from cedarchute.programs.pack_limits import PACK_AFTER_SECONDS, PACK_AT_ONCE
+from cedarchute.programs.compression_limits import (
+    COMPRESS_AFTER_IDLE_SECONDS,
+    MAX_COMPRESSED_CHARACTERS,
+)
 from experiments.caller import Caller, StreamResult, take_event
 from experiments.repeated_load import RepeatedLoad
 from experiments.slope_site import SETTLE_SECONDS, Slopes, measure_cpu, start_small
@@ -165,6 +168,10 @@
     with slopes.site() as site:
         start_history(site)
         for sent in grow_history(site):
-            time.sleep(PACK_AFTER_SECONDS + sent / PACK_AT_ONCE * 1.2 + 1.0)
+            time.sleep(
+                COMPRESS_AFTER_IDLE_SECONDS
+                + sent / MAX_COMPRESSED_CHARACTERS * 1.2
+                + 1.0
+            )
             memory = site.processes["box-0"].memory_bytes
             slopes.add("history_home_idle", "bytes of history", "bytes", sent, memory)
--- a/tests/border/test_home_follower.py
+++ b/tests/border/test_home_follower.py
@@ -12,7 +12,7 @@
 from cedarchute.border.home_locator import HomeLocation
 from cedarchute.metrics import Metrics
 from cedarchute.problem import Problem
-from cedarchute.programs.home import make_recovering_problem
+from cedarchute.programs.program_registry import make_recovering_problem
 
 ANSWER = object()
 PATIENCE_SECONDS = 5.0
--- a/tests/border/test_run_finder.py
+++ b/tests/border/test_run_finder.py
@@ -16,7 +16,7 @@
     takeovers, verdict
 ):
     """A plain call that may be repeated leaves no record before its outcome."""
-    program = SimpleNamespace(takeovers=takeovers)
+    program = SimpleNamespace(takeover_count=takeovers)
     home = SimpleNamespace(find=lambda _: program)
     runner = SimpleNamespace(find=lambda *_: None)
     exchange = SimpleNamespace(program="p", key="ask", request=None)
--- a/tests/calls/test_key_check.py
+++ b/tests/calls/test_key_authenticator.py
@@ -8,24 +8,24 @@
 import pytest
 
 from cedarchute.address import Address
-from cedarchute.calls.call import Call, ProgramTerms
+from cedarchute.calls.call import Call, ProgramContext
 from cedarchute.calls.call_errors import CallRefusedError
-from cedarchute.calls.key_check import (
+from cedarchute.calls.key_authenticator import (
     RETRY_AFTER_SECONDS,
     STORE_AWAY_RETRY_SECONDS,
-    KeyCheck,
+    KeyAuthenticator,
 )
-from cedarchute.calls.target_exchange import TargetExchange
-from cedarchute.decisions.key_trust import KeyTrust
+from cedarchute.calls.target_client import TargetClient
+from cedarchute.decisions.proof_age_limit import ProofAgeLimit
 from cedarchute.metrics import Metrics
 from cedarchute.relay.caller_request import CallerRequest
 from cedarchute.relay.headers import Headers
 from cedarchute.relay.input_limits import InputLimits
 from cedarchute.relay.target_failure import TargetFailureError
+from cedarchute.routing.active_route_table import ActiveRouteTable
+from cedarchute.routing.load_balancer import LoadBalancer
 from cedarchute.routing.route import Repeatability, Route
-from cedarchute.routing.route_book import RouteBook
 from cedarchute.routing.route_table import RouteTable
-from cedarchute.routing.target_choice import TargetChoice
 from cedarchute.routing.target_entry import TargetEntry
 from cedarchute.routing.target_registry import TargetRegistry
 from cedarchute.routing.workspace import Workspace
@@ -38,10 +38,10 @@
 class Proof:
     """A proof of any age; `fresh_age` is what looking for a newer one brings."""
 
-    def __init__(self, age_seconds=0.0, fresh_age=None, is_store_away=False):
+    def __init__(self, age_seconds=0.0, fresh_age=None, is_store_unavailable=False):
         self.age_seconds = age_seconds
         self.fresh_age = fresh_age
-        self.is_store_away = is_store_away
+        self.is_store_unavailable = is_store_unavailable
         self.looks = 0
 
     def refresh(self, seconds):
@@ -58,9 +58,9 @@
 
 
 def make_check(proof, table=None):
-    routes = RouteBook(Metrics())
-    routes.offer(table or make_table(1, a=["key-a"], b=["key-b"]), "test")
-    return KeyCheck(routes, KeyTrust(5.0), proof, Metrics())
+    routes = ActiveRouteTable(Metrics())
+    routes.update_if_newer(table or make_table(1, a=["key-a"], b=["key-b"]), "test")
+    return KeyAuthenticator(routes, ProofAgeLimit(5.0), proof, Metrics())
 
 
 def make_request(key="key-a"):
@@ -69,13 +69,13 @@
 
 
 def make_call(patience=4.0):
-    return Call("c", patience, ProgramTerms("", None, "", 0))
+    return Call("c", patience, ProgramContext("", None, "", 0))
 
 
 def identify(check, key="key-a", patience=4.0):
     call = make_call(patience)
-    permit = check.identify(make_request(key), call, ROUTE, check.routes.table)
-    return Call(call.id, call.patience_seconds, call.program, permit)
+    caller_identity = check.identify(make_request(key), call, ROUTE, check.routes.table)
+    return Call(call.id, call.caller_timeout_seconds, call.program, caller_identity)
 
 
 def read_refusal(action):
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    ("is_store_away", "patience", "retry_after"),
+    ("is_store_unavailable", "patience", "retry_after"),
     [
         (False, 4.0, RETRY_AFTER_SECONDS),
         (True, 20.0, STORE_AWAY_RETRY_SECONDS),
@@ -107,23 +107,25 @@
     ],
 )
 def test_without_a_proof_callers_are_told_when_to_come_back(
-    is_store_away, patience, retry_after
+    is_store_unavailable, patience, retry_after
 ):
-    check = make_check(Proof(age_seconds=9.0, is_store_away=is_store_away))
+    check = make_check(
+        Proof(age_seconds=9.0, is_store_unavailable=is_store_unavailable)
+    )
     refusal = read_refusal(lambda: identify(check, patience=patience))
     assert refusal.status == 503
     assert refusal.retry_after_seconds == pytest.approx(retry_after)
     assert refusal.facts["proof_age"] == 9.0
-    assert check.lacks_proof
+    assert check.is_configuration_stale
 
 
 def test_nothing_needs_a_proof_where_workspaces_hold_no_keys():
     check = make_check(
         Proof(age_seconds=9.0), RouteTable(1, (ROUTE,), {}, InputLimits())
     )
-    assert identify(check).permit is None
+    assert identify(check).caller_identity is None
     assert not check.needs_proof
-    assert not check.lacks_proof
+    assert not check.is_configuration_stale
 
 
 class WaitingPool:
@@ -150,9 +152,9 @@
     call = identify(check)
     registry = TargetRegistry(lambda entry: None)
     target = TargetEntry("t", "s", Address("10.0.0.1", 1), "a", True, 8)
-    choice = TargetChoice(registry, "a", random.Random(7), lambda address: True)
+    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
     pool = WaitingPool(meanwhile)
-    exchange = TargetExchange(pool, choice, check, Metrics())
+    exchange = TargetClient(pool, choice, check, Metrics())
     until = time.monotonic() + 4.0
     with pytest.raises((CallRefusedError, TargetFailureError)) as caught:
         exchange.open(make_request(), call, target, b"", until, until)
@@ -162,7 +164,7 @@
 def test_a_call_that_waited_is_sent_while_its_key_holds():
     check = make_check(Proof())
     table = make_table(2, a=["key-a", "another"])
-    error, sent = send(check, lambda: check.routes.offer(table, "test"))
+    error, sent = send(check, lambda: check.routes.update_if_newer(table, "test"))
     assert isinstance(error, TargetFailureError)
     assert len(sent) == 1
 
@@ -171,7 +173,7 @@
 def test_a_call_that_waited_is_not_sent_once_its_key_is_gone(keys):
     check = make_check(Proof())
     table = make_table(2, **keys)
-    error, sent = send(check, lambda: check.routes.offer(table, "test"))
+    error, sent = send(check, lambda: check.routes.update_if_newer(table, "test"))
     assert error.status == 401
     assert sent == []
 
--- a/tests/calls/test_quota_check.py
+++ b/tests/calls/test_quota_check.py
@@ -4,20 +4,20 @@
 
 import eventlet
 import pytest
+from cedarchute.calls.caller_identity import CallerIdentity
 from eventlet.event import Event
 from greenlet import GreenletExit
 
 from cedarchute.calls import quota_check
-from cedarchute.calls.call import Call, ProgramTerms
+from cedarchute.calls.call import Call, ProgramContext
 from cedarchute.calls.call_errors import CallRefusedError
-from cedarchute.calls.permit import Permit
 from cedarchute.calls.quota_check import QuotaCheck, find_patience
-from cedarchute.decisions.quota_share import MOST_WAIT_SECONDS, QuotaGrant
+from cedarchute.decisions.quota_share import MAX_WAIT_SECONDS, QuotaGrant
 from cedarchute.metrics import Metrics
 from cedarchute.relay.caller_server import CallerServer
 from cedarchute.relay.input_limits import InputLimits
 from cedarchute.routing.workspace import Workspace
-from cedarchute.turns.quota_client import NoKeeperError
+from cedarchute.turns.quota_client import NoQuotaServerError
 from experiments.raw_caller import build_request
 
 LIMITED = Workspace("limited", 0, 5.0, 5.0)
@@ -40,8 +40,8 @@
 
 
 def make_call(workspace=LIMITED, previous="", most_tokens=0, patience=4.0):
-    terms = ProgramTerms("p", None, previous, most_tokens)
-    return Call("c", patience, terms, Permit(workspace, b"x"))
+    terms = ProgramContext("p", None, previous, most_tokens)
+    return Call("c", patience, terms, CallerIdentity(workspace, b"x"))
 
 
 def check(answer, call):
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize(
     ("answer", "status"),
-    [(QuotaGrant(False, 0.7, 0.3), 429), (NoKeeperError("none"), 503)],
+    [(QuotaGrant(False, 0.7, 0.3), 429), (NoQuotaServerError("none"), 503)],
 )
 def test_a_refusal_tells_when_to_come_back(answer, status):
     with pytest.raises(CallRefusedError) as caught:
@@ -78,8 +78,8 @@
 
 def test_a_call_waits_no_longer_than_a_part_of_its_callers_patience():
     assert find_patience(make_call(patience=2.0)) == 0.5
-    assert find_patience(make_call(patience=60.0)) == MOST_WAIT_SECONDS
-    assert find_patience(make_call(patience=None)) == MOST_WAIT_SECONDS
+    assert find_patience(make_call(patience=60.0)) == MAX_WAIT_SECONDS
+    assert find_patience(make_call(patience=None)) == MAX_WAIT_SECONDS
 
 
 def test_a_call_waits_as_long_as_its_keeper_says(monkeypatch):
--- a/tests/decisions/test_program_admission.py
+++ b/tests/decisions/test_program_admission.py
@@ -2,14 +2,19 @@
 
 import pytest
 
-from cedarchute.decisions.aim_use import DEFAULT, WARM_SECONDS, WINDOW, AimUse
+from cedarchute.decisions.deadline_usage import (
+    DEFAULT,
+    WARM_SECONDS,
+    WINDOW,
+    DeadlineUsage,
+)
 from cedarchute.decisions.program_admission import (
     LEAST_RETRY_SECONDS,
+    MIN_SHEDDING_SLOWDOWN,
     MOST_RETRY_SECONDS,
-    STRAINED_SLOWDOWN,
     AdmissionInputs,
+    compute_shedding_hash,
     decide_admission,
-    find_standing,
 )
 
 
@@ -20,7 +25,7 @@
 
 
 def test_nobody_is_refused_while_engines_have_room():
-    calm = STRAINED_SLOWDOWN - 0.01
+    calm = MIN_SHEDDING_SLOWDOWN - 0.01
     assert decide(calm, use=1.0, standing=0.0, aim=0.1, waited=60.0).admitted
 
 
@@ -32,8 +37,8 @@
 
 
 def test_the_same_program_gets_the_same_answer_everywhere():
-    assert find_standing("p-1") == find_standing("p-1")
-    drawn = [find_standing(f"p-{n}") for n in range(2000)]
+    assert compute_shedding_hash("p-1") == compute_shedding_hash("p-1")
+    drawn = [compute_shedding_hash(f"p-{n}") for n in range(2000)]
     assert all(0.0 <= value < 1.0 for value in drawn)
     assert 0.45 < sum(drawn) / len(drawn) < 0.55
 
@@ -72,21 +77,21 @@
 
 
 def test_use_is_what_programs_near_their_end_have_used():
-    use = AimUse()
+    use = DeadlineUsage()
     assert use.share == DEFAULT
     fill(use, [0.6 * n / WINDOW for n in range(1, WINDOW + 1)])
     assert use.share == pytest.approx(0.5, abs=0.06)
 
 
 def test_the_first_seconds_of_a_box_tell_nothing():
-    use = AimUse()
+    use = DeadlineUsage()
     for number in range(5 * WINDOW):
         use.record_turn(100.0 + number / 100, 1.0, 0.1, 0.9)
     assert use.share == DEFAULT
 
 
 def test_use_follows_slowly_and_bad_input_is_passed_over():
-    use = AimUse()
+    use = DeadlineUsage()
     fill(use, [0.3] * WINDOW)
     assert use.share == pytest.approx(0.3)
     fill(use, [0.9] * WINDOW)
@@ -97,7 +102,7 @@
 
 
 def test_use_is_told_for_engines_that_are_not_slowed_down():
-    use = AimUse()
+    use = DeadlineUsage()
     use.record_turn(100.0, 1.0, 0.1, 0.9)
     for _ in range(WINDOW):
         use.record_turn(110.0, 1.5, 0.6, 0.4)
--- a/tests/decisions/test_quota_share.py
+++ b/tests/decisions/test_quota_share.py
@@ -81,7 +81,7 @@
             keeper = number % KEEPERS
             if keeper in silent:
                 continue
-            grant = shares[keeper].ask(begins, patience)
+            grant = shares[keeper].acquire(begins, patience)
             if grant.granted:
                 granted.append(clock.now + grant.wait_seconds)
                 break
@@ -100,7 +100,7 @@
         if lost_at is not None and clock.now >= lost_at:
             shares, lost_at = make_shares(limit, clock), None
         for share in shares:
-            if share.ask(False).granted:
+            if share.acquire(False).granted:
                 granted.append(clock.now)
     assert count_most(granted) <= most_allowed(limit)
 
@@ -111,14 +111,14 @@
     shares = make_shares(high, clock)
     clock.now = 60.0
     for share in shares:
-        share.note_limit(low)
+        share.update_limit(low)
         # A box that is behind still tells the older one.
-        share.note_limit(high)
+        share.update_limit(high)
     granted = []
     while clock.now < 70.0:
         clock.now += 0.01
         for share in shares:
-            if share.ask(False).granted:
+            if share.acquire(False).granted:
                 granted.append(clock.now)
     assert count_most(granted) <= most_allowed(low)
     assert len(granted) > 100
@@ -131,7 +131,7 @@
     granted = []
     while clock.now < 10.0:
         clock.now += 0.005
-        if share.ask(False).granted:
+        if share.acquire(False).granted:
             granted.append(clock.now)
     assert count_most(granted) <= most_allowed(limit)
     assert len(granted) > 10 * 30
@@ -142,13 +142,13 @@
     share = QuotaShare(QuotaLimit(1, 30, 30), TOLERANCE, clock, clock.now)
     clock.now = 60.0
     for begins in (True, False):
-        while share.ask(False).granted:
+        while share.acquire(False).granted:
             pass
-        wait = share.ask(begins).wait_seconds
+        wait = share.acquire(begins).wait_seconds
         clock.now += wait * 0.99
-        assert not share.ask(begins).granted
+        assert not share.acquire(begins).granted
         clock.now += wait * 0.011
-        assert share.ask(begins).granted
+        assert share.acquire(begins).granted
 
 
 class Replay:
@@ -194,11 +194,11 @@
     def ask(self, begins):
         order = self.chance.sample(self.sound, len(self.sound))
         for share in order:
-            if share.ask(begins).granted:
+            if share.acquire(begins).granted:
                 self.granted.append(self.clock.now)
                 return True
-        soonest = min(order, key=lambda share: share.ask(begins).wait_seconds)
-        grant = soonest.ask(begins, patience_seconds=1.0)
+        soonest = min(order, key=lambda share: share.acquire(begins).wait_seconds)
+        grant = soonest.acquire(begins, patience_seconds=1.0)
         if grant.granted:
             self.granted.append(self.clock.now + grant.wait_seconds)
         return grant.granted
@@ -208,21 +208,21 @@
     clock = FakeClock()
     clock.now = 16.0
     share = QuotaShare(QuotaLimit(1, 6, 6), TOLERANCE, clock, keeper_started_at=0.0)
-    assert share.ask(begins_program=True).granted
+    assert share.acquire(begins_program=True).granted
 
 
 def test_a_call_of_a_program_under_way_waits_and_a_start_does_not():
     clock = FakeClock()
     share = QuotaShare(QuotaLimit(1, 30, 30), TOLERANCE, clock, clock.now)
-    while share.ask(False).granted:
+    while share.acquire(False).granted:
         pass
     waits = []
-    while (grant := share.ask(False, patience_seconds=5.0)).granted:
+    while (grant := share.acquire(False, patience_seconds=5.0)).granted:
         waits.append(grant.wait_seconds)
     assert waits == sorted(waits)
     assert 0 < waits[0] < waits[-1] <= 1.0
     assert grant.wait_seconds > 1.0
-    assert not share.ask(True, patience_seconds=5.0).granted
+    assert not share.acquire(True, patience_seconds=5.0).granted
 
 
 @pytest.mark.parametrize("rate", [6, 10])
--- a/tests/decisions/test_pace_meter.py
+++ b/tests/decisions/test_slowdown_meter.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cedarchute.decisions.pace_meter import MOST_OVERDUE, PaceMeter
+from cedarchute.decisions.slowdown_meter import MOST_OVERDUE, SlowdownMeter
 
 TARGETS = ("a", "b", "c", "d", "e")
 
@@ -14,23 +14,23 @@
     while now < start + seconds:
         now += first
         for target in streams:
-            meter.record_first(target, now, first)
+            meter.record_first_event(target, now, first)
         for _ in range(9):
             now += pause
             for target in streams:
-                meter.record_pauses(target, now, pause, 1)
+                meter.record_event_gaps(target, now, pause, 1)
     return now
 
 
 @pytest.fixture
 def calm():
-    meter = PaceMeter()
+    meter = SlowdownMeter()
     feed(meter, 100.0, 3.0, 0.03, 0.027)
     return meter
 
 
 def test_nothing_is_known_at_first():
-    assert PaceMeter().measure_slowdown(5.0) == 1.0
+    assert SlowdownMeter().measure_slowdown(5.0) == 1.0
 
 
 def test_calm_streams_are_not_slow(calm):
@@ -100,7 +100,7 @@
 
 
 def test_times_below_those_of_an_engine_are_no_base(calm):
-    quick = PaceMeter()
+    quick = SlowdownMeter()
     now = feed(quick, 100.0, 2.0, 0.001, 0.0001)
     now = feed(quick, now, 2.0, 0.02, 0.01)
     assert quick.measure_slowdown(now) < 1.2
--- a/tests/limits/test_workspace_limits.py
+++ b/tests/limits/test_workspace_limits.py
@@ -33,7 +33,7 @@
         def borrow(request):
             if is_keeper_silent:
                 raise PeerError("silent")
-            return lender.on_borrow(request)
+            return lender.handle_borrow(request)
 
         self.limits = [
             WorkspaceLimits(
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -28,7 +28,7 @@
                     box.takeover.consider(record)
     home = world.find_home(program)
     assert home is world.boxes[0]
-    assert home.home.find(program).takeovers == 0
+    assert home.home.find(program).takeover_count == 0
 
 
 def test_nobody_takes_over_while_the_store_is_down(world):
@@ -47,7 +47,7 @@
     world.kill(0)
     world.store.lost_replies = 1
     world.settle()
-    assert world.find_home(program).home.find(program).takeovers == 1
+    assert world.find_home(program).home.find(program).takeover_count == 1
 
 
 def test_a_box_that_lost_its_partition_opens_programs_again(world):
