--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -62,7 +62,7 @@
     assert route.repeatability is Repeatability.STREAM
     assert (route.timeout_seconds, route.objective_seconds) == (5.0, 0.2)
     assert [(s.service, s.weight) for s in route.shares] == [("x", 90), ("y", 10)]
-    assert route.keeps_turns
+    assert route.retains_turns
     assert table.find("site.example", b"/a/b/c").name == "r-2"
     assert table.find("site.example", b"/b/") is None
     assert table.find("other.example", b"/a/x") is None
@@ -95,7 +95,7 @@
     }
     entry = read_target("i-1", json.dumps(document))
     assert (entry.id, str(entry.address), entry.ready) == ("i-1", "10.0.0.1:80", False)
-    assert entry.cold_seconds == 1.5
+    assert entry.warmup_seconds == 1.5
     for broken in ("{}", "nonsense", json.dumps({**document, "Address": "name:80"})):
         with pytest.raises(DocumentError):
             read_target("i-1", broken)
--- a/tests/platform/test_target_entries.py
+++ b/tests/platform/test_target_entries.py
@@ -83,7 +83,7 @@
 
 def test_the_sound_entry_is_read():
     entry = read_target("i-1", json.dumps(SOUND))
-    assert (entry.id, entry.born_ms) == ("i-1", 1_790_000_000_000)
+    assert (entry.id, entry.started_at_ms) == ("i-1", 1_790_000_000_000)
 
 
 @pytest.mark.parametrize("text", BROKEN)
--- a/tests/platform_site/test_overload.py
+++ b/tests/platform_site/test_overload.py
@@ -6,7 +6,7 @@
 
 from turn_callers import say, take_turn, turn_headers
 
-from cedarchute.decisions.usual_pace import WINDOW_FIRSTS
+from cedarchute.decisions.baseline_latency import WINDOW_FIRST_EVENTS
 from experiments.raw_caller import RawCaller, build_request, call
 from experiments.waiting import wait_until
 from standins.raw_target import LAST_CHUNK, chunk, event, stream_head
@@ -21,7 +21,7 @@
 
 def teach_usual_pace(entry):
     """Let the box see streams of calm engines, enough for a window."""
-    for number in range(WINDOW_FIRSTS + 6):
+    for number in range(WINDOW_FIRST_EVENTS + 6):
         assert ask(entry, f"oc{number}", f"oc{number}")[0] == 200
 
 
--- a/tests/programs/test_releaser.py
+++ b/tests/programs/test_cache_releaser.py
@@ -4,12 +4,12 @@
 import pytest
 from fake_world import FakeWorld
 
-from cedarchute.programs import releaser
+from cedarchute.programs import cache_releaser
 
 
 @pytest.fixture
 def world(monkeypatch):
-    monkeypatch.setattr(releaser, "FIRST_WAIT_SECONDS", 0.01)
+    monkeypatch.setattr(cache_releaser, "FIRST_WAIT_SECONDS", 0.01)
     world = FakeWorld()
     yield world
     world.close()
--- a/tests/programs/test_cache_sweeper.py
+++ b/tests/programs/test_cache_sweeper.py
@@ -20,7 +20,7 @@
     def __init__(self):
         self.asked = Counter()
 
-    def read_held(self, address):
+    def list_cached_programs(self, address):
         self.asked[str(address)] += 1
         return []
 
--- a/tests/programs/test_dispatcher.py
+++ b/tests/programs/test_dispatcher.py
@@ -35,7 +35,7 @@
         raise TargetError("target_error", "gone", verdict)
         yield
 
-    box.runner.dispatcher.models.engines.generate = generate
+    box.runner.dispatcher.model_caller.engines.generate = generate
     outcome = world.call(
         box,
         program,
--- a/tests/programs/test_program.py
+++ b/tests/programs/test_program.py
@@ -28,17 +28,17 @@
     found = world.boxes[0].home.find(program.id)
 
     def generate(address, request, seconds):
-        seen.append((found.left_tokens, request.max_tokens))
+        seen.append((found.remaining_tokens, request.max_tokens))
         yield from type(engines).generate(engines, address, request, seconds)
 
-    engines = world.boxes[0].runner.dispatcher.models.engines
+    engines = world.boxes[0].runner.dispatcher.model_caller.engines
     engines.generate = generate
     messages = [{"role": "user", "content": "x" * 40}]
     request = {"service": "agent", "messages": messages, "max_tokens": 500}
     world.call(world.boxes[0], program.id, "k", **request)
     # The answer is cut to what the budget has left beside the input.
     assert seen == [(0, 90)]
-    assert found.left_tokens == 100 - 10 - 2
+    assert found.remaining_tokens == 100 - 10 - 2
 
 
 def test_a_program_never_exceeds_its_calls(world):
@@ -69,7 +69,7 @@
     world.call(world.boxes[0], child.id, "k", service="transfer", body=1)
     home = world.boxes[0].home
     home.end(child, "done")
-    assert parent.left_tokens == 100
+    assert parent.remaining_tokens == 100
     assert parent.left_calls == 3
 
 
@@ -86,5 +86,5 @@
     world.settle()
     found = world.find_home(parent.id).home.find(parent.id)
     with eventlet.Timeout(5):
-        while found.left_tokens != 100:
+        while found.remaining_tokens != 100:
             world.look()
--- a/tests/routing/test_target_registry.py
+++ b/tests/routing/test_target_registry.py
@@ -10,12 +10,12 @@
 
 from cedarchute.address import Address
 from cedarchute.routing import target_registry
-from cedarchute.routing.target_choice import TargetChoice
+from cedarchute.routing.load_balancer import LoadBalancer
 from cedarchute.routing.target_entry import TargetEntry
 from cedarchute.routing.target_registry import HOLD_BACK_SECONDS, TargetRegistry
 
-OLD = TargetEntry("i-1", "s", Address("10.0.0.1", 80), "a", True, 8, born_ms=1000)
-NEW = replace(OLD, address=Address("10.0.0.2", 80), born_ms=2000)
+OLD = TargetEntry("i-1", "s", Address("10.0.0.1", 80), "a", True, 8, started_at_ms=1000)
+NEW = replace(OLD, address=Address("10.0.0.2", 80), started_at_ms=2000)
 
 
 @pytest.fixture
@@ -36,7 +36,7 @@
 
 
 def ready_starts(registry):
-    return [entry.start for entry in registry.list_ready("s")]
+    return [entry.incarnation for entry in registry.list_ready("s")]
 
 
 def test_a_newer_start_takes_the_place_of_the_earlier_one(registry, gone):
@@ -83,30 +83,30 @@
 
 
 def test_what_was_learnt_of_the_earlier_start_is_gone(clock):
-    registry = TargetRegistry(lambda entry: choice.forget_gone())
-    choice = TargetChoice(registry, "a", random.Random(7), lambda address: True)
+    registry = TargetRegistry(lambda entry: choice.prune_loads())
+    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
     registry.put(OLD)
     registry.put(replace(OLD, id="i-2", address=Address("10.0.0.3", 80)))
-    load = choice.loads[OLD.start]
+    load = choice.loads[OLD.incarnation]
     load.record_failure()
     load.active = 7
     choice.loads["i-2@1000"].record_answer(0.2)
     registry.put(NEW)
-    assert choice.loads[NEW.start].active == 0
-    assert not choice.loads[NEW.start].is_paused
+    assert choice.loads[NEW.incarnation].active == 0
+    assert not choice.loads[NEW.incarnation].is_paused
     load.active = 0
-    choice.forget_gone()
-    assert OLD.start not in choice.loads
+    choice.prune_loads()
+    assert OLD.incarnation not in choice.loads
 
 
 def test_what_the_earlier_start_held_is_not_looked_for_at_the_next(registry):
-    choice = TargetChoice(registry, "a", random.Random(7), lambda address: True)
+    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
     registry.put(NEW)
     other = replace(OLD, id="i-2", address=Address("10.0.0.3", 80))
     registry.put(other)
-    choice.loads[NEW.start].active = 1
-    assert choice.choose("s", set(), NEW.start).id == "i-1"
-    assert choice.choose("s", set(), OLD.start).id == "i-2"
+    choice.loads[NEW.incarnation].active = 1
+    assert choice.select_target("s", set(), NEW.incarnation).id == "i-1"
+    assert choice.select_target("s", set(), OLD.incarnation).id == "i-2"
 
 
 def test_an_address_of_a_box_of_ours_names_no_target(clock, gone):
@@ -116,13 +116,13 @@
 
 
 def test_an_entry_that_claims_far_more_slots_does_not_take_all(registry):
-    choice = TargetChoice(registry, "a", random.Random(7), lambda address: True)
+    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
     for number in range(9):
         registry.put(replace(OLD, id=f"i-{number}"))
     registry.put(replace(OLD, id="huge", slots=100_000))
     drawn = 0
     for _ in range(100):
-        chosen = choice.choose("s", set())
-        choice.loads[chosen.start].active += 1
+        chosen = choice.select_target("s", set())
+        choice.loads[chosen.incarnation].active += 1
         drawn += chosen.id == "huge"
     assert drawn <= 48
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -12,7 +12,7 @@
 from cedarchute.scheduling.prefix_index import PrefixIndex
 from cedarchute.scheduling.program_aware import ProgramAware
 from cedarchute.scheduling.sticky import Sticky
-from cedarchute.scheduling.target_book import TargetBook
+from cedarchute.scheduling.target_directory import TargetDirectory
 from cedarchute.scheduling.target_state import TargetState
 from cedarchute.targets.load_report import LoadReport
 
@@ -81,31 +81,31 @@
 
 
 def test_what_was_sent_since_the_report_counts():
-    book = TargetBook("box", "region", 20, StillClock(), Metrics())
+    book = TargetDirectory("box", "region", 20, StillClock(), Metrics())
     first, second = make_target(0), make_target(1)
     policy = make_policy()
     chosen = []
     for seed in range(8):
         target = policy.choose(make_request(), [first, second], random.Random(seed))
-        book.on_sent(target, 4000)
+        book.on_request_sent(target, 4000)
         chosen.append(target.name)
     assert Counter(chosen) == {"t0": 4, "t1": 4}
 
 
 def test_a_failing_target_rests_and_is_then_tried_by_one_request():
     clock = StillClock()
-    book = TargetBook("box", "region", 20, clock, Metrics())
+    book = TargetDirectory("box", "region", 20, clock, Metrics())
     target = make_target(0)
     book.by_service["s"] = [target]
-    book.on_sent(target, 1)
-    book.on_failed(target, "target_unreachable")
-    assert book.usable("s", set()) == []
+    book.on_request_sent(target, 1)
+    book.on_request_failed(target, "target_unreachable")
+    assert book.list_available("s", set()) == []
     clock.now += 60
-    assert book.usable("s", set()) == [target]
-    book.on_sent(target, 1)
-    assert book.usable("s", set()) == []
-    book.on_done(target)
-    assert book.usable("s", set()) == [target]
+    assert book.list_available("s", set()) == [target]
+    book.on_request_sent(target, 1)
+    assert book.list_available("s", set()) == []
+    book.on_request_succeeded(target)
+    assert book.list_available("s", set()) == [target]
 
 
 def test_a_sticky_program_stays():
@@ -123,7 +123,7 @@
         # This box has seen two programs with the text, on targets of its own.
         for number in range(2):
             digests = digest_prefixes([f"{text}question {number} of {box}"])
-            index.note(digests, f"p{number}", f"t{box}")
+            index.record_prompt(digests, f"p{number}", f"t{box}")
         prefixes = digest_prefixes([f"{text}another question"])
         request = make_request(prompt_tokens=820, prefixes=prefixes)
         busy = [make_target(n, running=8) if n == box else targets[n] for n in range(6)]
@@ -139,7 +139,7 @@
     index = PrefixIndex(StillClock())
     for number in range(2):
         digests = digest_prefixes([f"{text}{number}"])
-        index.note(digests, f"p{number}", "t0")
+        index.record_prompt(digests, f"p{number}", "t0")
     busy = make_target(0, running=8, waiting=60, waiting_tokens=90_000)
     request = make_request(prompt_tokens=820, prefixes=digest_prefixes([text]))
     policy = make_policy(0.5, index)
@@ -183,7 +183,7 @@
     index = PrefixIndex(StillClock())
     text = "greeting " * 64
     for number in range(2):
-        index.note(digest_prefixes([f"{text}{number}"]), f"p{number}", "t9")
+        index.record_prompt(digest_prefixes([f"{text}{number}"]), f"p{number}", "t9")
     prefixes = digest_prefixes([text])
     request = make_request(prompt_tokens=200, prefixes=prefixes)
     policy = make_policy(1.0, index)
--- a/tests/scheduling/test_prefix_index.py
+++ b/tests/scheduling/test_prefix_index.py
@@ -34,10 +34,10 @@
 def test_what_one_program_alone_has_is_not_shared():
     index = PrefixIndex(StillClock())
     digests = digest_prefixes([SHARED + "a" * 500])
-    index.note(digests, "p1", "t0")
-    index.note(digests, "p1", "t1")
+    index.record_prompt(digests, "p1", "t0")
+    index.record_prompt(digests, "p1", "t1")
     assert index.count_shared_tokens(digests) == 0
-    index.note(digest_prefixes([SHARED + "b" * 500]), "p2", "t0")
+    index.record_prompt(digest_prefixes([SHARED + "b" * 500]), "p2", "t0")
     assert index.count_shared_tokens(digests) == 3 * CHUNK_TOKENS
 
 
@@ -45,16 +45,16 @@
     clock = StillClock()
     index = PrefixIndex(clock)
     digests = digest_prefixes([SHARED])
-    index.note(digests, "p1", "t0")
-    assert index.count_held_tokens(digests, "t0") == 3 * CHUNK_TOKENS
-    assert index.count_held_tokens(digests, "t1") == 0
+    index.record_prompt(digests, "p1", "t0")
+    assert index.count_cached_tokens(digests, "t0") == 3 * CHUNK_TOKENS
+    assert index.count_cached_tokens(digests, "t1") == 0
     clock.now += BELIEVED_SECONDS + 1
-    assert index.count_held_tokens(digests, "t0") == 0
+    assert index.count_cached_tokens(digests, "t0") == 0
 
 
 def test_the_index_is_bounded(monkeypatch):
     monkeypatch.setattr(prefix_index, "MOST_ENTRIES", 10)
     index = PrefixIndex(StillClock())
     for number in range(30):
-        index.note(digest_prefixes([f"{number:04}" * 64]), "p", "t0")
+        index.record_prompt(digest_prefixes([f"{number:04}" * 64]), "p", "t0")
     assert len(index.entries) == 10
--- a/tests/scheduling/test_shared_holds.py
+++ b/tests/scheduling/test_prefix_pinner.py
@@ -6,14 +6,17 @@
 from cedarchute.metrics import Metrics
 from cedarchute.operators.site_file import TargetSection
 from cedarchute.programs.records import ChatMessage
+from cedarchute.scheduling.pinned_prefix_key import (
+    is_pinned_prefix_expired,
+    is_pinned_prefix_key,
+)
 from cedarchute.scheduling.prefix_digests import digest_prefixes
 from cedarchute.scheduling.prefix_index import PrefixIndex
-from cedarchute.scheduling.shared_holds import (
+from cedarchute.scheduling.prefix_pinner import (
     RETRY_SECONDS,
-    SharedHolds,
+    PrefixPinner,
     cut_messages,
 )
-from cedarchute.scheduling.shared_name import is_shared_name, is_shared_name_over
 from cedarchute.scheduling.target_state import TargetState
 from cedarchute.targets.target_error import TargetError
 from cedarchute.verdict import Verdict
@@ -45,15 +48,15 @@
         self.engines = Engines()
         self.index = PrefixIndex(self.clock)
         self.metrics = Metrics()
-        self.holds = SharedHolds(
+        self.holds = PrefixPinner(
             self.engines, self.index, lambda: seconds, self.clock, self.metrics
         )
 
     def finish(self, program, text=SHARED):
         messages = [ChatMessage(role="user", content=f"{text}{program}" * 3)]
         prefixes = digest_prefixes(m.content for m in messages)
-        self.index.note(prefixes, program, "t0")
-        self.holds.on_finished(TARGET, "small", prefixes, lambda: messages)
+        self.index.record_prompt(prefixes, program, "t0")
+        self.holds.on_call_finished(TARGET, "small", prefixes, lambda: messages)
         eventlet.sleep(0)
 
 
@@ -64,7 +67,7 @@
     for program in ("p2", "p3", "p4"):
         world.finish(program)
     (request,) = world.engines.asked
-    assert is_shared_name(request.program)
+    assert is_pinned_prefix_key(request.program)
     assert request.max_tokens == 1
     assert len(request.messages[0].content) <= len(SHARED)
     assert SHARED.startswith(request.messages[0].content)
@@ -111,9 +114,9 @@
     world.finish("p1")
     world.finish("p2")
     name = world.engines.asked[0].program
-    assert not is_shared_name_over(name, world.clock.now + 29)
-    assert is_shared_name_over(name, world.clock.now + 61)
-    assert is_shared_name_over("shared.nonsense", world.clock.now)
+    assert not is_pinned_prefix_expired(name, world.clock.now + 29)
+    assert is_pinned_prefix_expired(name, world.clock.now + 61)
+    assert is_pinned_prefix_expired("shared.nonsense", world.clock.now)
 
 
 def test_messages_are_cut_at_a_number_of_characters():
--- a/tests/scheduling/test_order.py
+++ b/tests/scheduling/test_priority.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cedarchute.operators.site_file import Order
-from cedarchute.scheduling.order import ProgramStanding, priority_of
+from cedarchute.scheduling.priority import PriorityInputs, compute_priority
 
 
 def standing(**fields):
@@ -13,7 +13,7 @@
         "attained_tokens": 0,
         "weight": 1.0,
     }
-    return ProgramStanding(**{**values, **fields})
+    return PriorityInputs(**{**values, **fields})
 
 
 @pytest.mark.parametrize(
@@ -35,5 +35,5 @@
     ],
 )
 def test_what_goes_first(order, first, last):
-    before = priority_of(order, standing(**first))
-    assert before < priority_of(order, standing(**last))
+    before = compute_priority(order, standing(**first))
+    assert before < compute_priority(order, standing(**last))
--- a/tests/stateful/fake_box.py
+++ b/tests/stateful/fake_box.py
@@ -9,7 +9,7 @@
 from cedarchute.copies.record_storage import MemoryStorage
 from cedarchute.copies.replicator import Replicator
 from cedarchute.limits.limit_lender import LimitLender
-from cedarchute.limits.retry_allowance import RetryAllowance
+from cedarchute.limits.retry_budget import RetryBudget
 from cedarchute.limits.workspace_limits import WorkspaceLimits
 from cedarchute.membership.box_record import BoxRecord
 from cedarchute.membership.heartbeats import Heartbeats
@@ -25,19 +25,19 @@
 from cedarchute.ownership.recovery import Recovery
 from cedarchute.ownership.takeover import Takeover
 from cedarchute.platform.store_client import StoreUnavailableError
-from cedarchute.programs.adopter import Adopter
-from cedarchute.programs.cache_mover import CacheMover
+from cedarchute.programs.cache_migrator import CacheMigrator
+from cedarchute.programs.cache_releaser import CacheReleaser
 from cedarchute.programs.call_runner import CallRunner
 from cedarchute.programs.dispatcher import Dispatcher
-from cedarchute.programs.home import ProgramHome
 from cedarchute.programs.model_caller import ModelCaller
-from cedarchute.programs.releaser import Releaser
+from cedarchute.programs.program_registry import ProgramRegistry
+from cedarchute.programs.program_resumer import ProgramResumer
 from cedarchute.programs.target_chooser import TargetChooser
-from cedarchute.scheduling.admission import Admission
+from cedarchute.scheduling.admission import AdmissionController
 from cedarchute.scheduling.prefix_index import PrefixIndex
+from cedarchute.scheduling.prefix_pinner import PrefixPinner
 from cedarchute.scheduling.program_aware import ProgramAware
-from cedarchute.scheduling.shared_holds import SharedHolds
-from cedarchute.scheduling.target_book import TargetBook
+from cedarchute.scheduling.target_directory import TargetDirectory
 from cedarchute.settings.box_settings import CopiesSection, ServingSection
 
 TAKEOVER_SECONDS = 2.0
@@ -103,20 +103,20 @@
         self.replicator = Replicator(
             self.holder, self.view, client, copies, TAKEOVER_SECONDS, clock, metrics
         )
-        book = TargetBook(name, "region", 20, clock, metrics)
+        book = TargetDirectory(name, "region", 20, clock, metrics)
         lender = LimitLender(configuration, clock)
         limits = WorkspaceLimits(
             configuration,
             lambda: 1,
-            lender.on_borrow,
+            lender.handle_borrow,
             clock,
             random.Random(1),
             metrics,
         )
-        self.home = ProgramHome(
+        self.home = ProgramRegistry(
             self.replicator,
             limits,
-            Admission(book, configuration, random.Random(1), metrics),
+            AdmissionController(book, configuration, random.Random(1), metrics),
             ServingSection(),
             lambda: self.partitions.own_partition(),
             clock,
@@ -139,16 +139,16 @@
         chooser = TargetChooser(
             book, lambda: policy, configuration, "a", clock, random.Random(1)
         )
-        holds = SharedHolds(engines, index, lambda: 0, clock, metrics)
+        holds = PrefixPinner(engines, index, lambda: 0, clock, metrics)
         dispatcher = Dispatcher(
             book,
             chooser,
             ModelCaller(engines, index, holds, configuration, clock, metrics),
-            CacheMover(engines, book, index, configuration, metrics),
+            CacheMigrator(engines, book, index, configuration, metrics),
             world.service.client(self.port),
             self.replicator,
             self.home.append,
-            RetryAllowance(1.0),
+            RetryBudget(1.0),
             clock,
             metrics,
         )
@@ -160,9 +160,9 @@
             clock,
             metrics,
         )
-        releaser = Releaser(self.home, book, engines, metrics)
+        releaser = CacheReleaser(self.home, book, engines, metrics)
         self.home.ended_listeners.append(releaser.on_ended)
-        adopter = Adopter(self.record.identity, self.home, dispatcher, metrics)
+        adopter = ProgramResumer(self.record.identity, self.home, dispatcher, metrics)
         recovery = Recovery(
             self.view, self.holder, self.home, adopter, client, clock, metrics
         )
--- a/tests/stateful/fake_targets.py
+++ b/tests/stateful/fake_targets.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from cedarchute.targets.stream_piece import StreamEnd, StreamPiece
+from cedarchute.targets.stream_chunk import StreamChunk, StreamEnd
 from cedarchute.targets.target_error import TargetError
 from cedarchute.verdict import Verdict
 
@@ -80,7 +80,7 @@
     def give(self, request_id, offset):
         text, prompt = self.engines.streams[request_id]
         if text[offset:]:
-            yield StreamPiece(text[offset:], 1)
+            yield StreamChunk(text[offset:], 1)
         yield StreamEnd("stop", prompt, 0, 2)
 
     def cancel(self, address, request_id):
@@ -92,5 +92,5 @@
             raise TargetError("target_timeout", "deaf", Verdict.MAY_HAVE_RUN)
         self.engines.held.discard(program)
 
-    def read_held(self, address):
+    def list_cached_programs(self, address):
         return sorted(self.engines.held)
--- a/tests/stateful/test_programs_machine.py
+++ b/tests/stateful/test_programs_machine.py
@@ -18,7 +18,7 @@
 from cedarchute.copies import holder_link, replicator
 from cedarchute.ownership import partition_keeper, recovery, sealing, takeover
 from cedarchute.problem import Problem
-from cedarchute.programs import home
+from cedarchute.programs import program_registry
 
 SHORT = {
     (holder_link, "RETRY_SECONDS"): 0.005,
@@ -28,7 +28,7 @@
     (sealing, "RETRY_SECONDS"): 0.005,
     (sealing, "POLL_SECONDS"): 0.005,
     (recovery, "READ_RETRY_SECONDS"): 0.005,
-    (home, "RETRY_APPEND_SECONDS"): 0.01,
+    (program_registry, "RETRY_APPEND_SECONDS"): 0.01,
     (partition_keeper, "JOIN_SECONDS"): 0.3,
     (partition_keeper, "GATE_SECONDS"): 0.1,
 }
@@ -211,10 +211,10 @@
         for program, order in self.told_order.items():
             home = self.world.find_home(program)
             assert home is not None, "a program was lost"
-            found = home.home.find(program)
+            found = program_registry.home.find(program)
             kept = [key for key in found.calls if key in order]
             assert kept == order, "history lost or out of order"
-            assert found.left_tokens >= 0
+            assert found.remaining_tokens >= 0
             assert found.used_calls <= found.opened.budget.calls
             for message in found.read_history():
                 assert program in message.content, "histories are mixed"
@@ -223,7 +223,7 @@
         self.nothing_ran_twice()
         for program in self.told_order:
             home = self.world.find_home(program)
-            home.home.end(home.home.find(program), "test over")
+            program_registry.home.end(program_registry.home.find(program), "test over")
         for _ in range(40):
             if not self.world.engines.held:
                 break
--- a/tests/stateful/test_proof_machine.py
+++ b/tests/stateful/test_proof_machine.py
@@ -14,7 +14,7 @@
     rule,
 )
 
-from cedarchute.decisions.key_trust import MARGIN_SECONDS, KeyTrust
+from cedarchute.decisions.proof_age_limit import MARGIN_SECONDS, ProofAgeLimit
 from cedarchute.fleet import configuration_proof, store_mirror
 from cedarchute.fleet.state_messages import MirroredEntry
 from cedarchute.fleet.store_mirror import StoreMirror
@@ -44,7 +44,7 @@
         clock = SimpleNamespace(monotonic=lambda: self.now)
         self.patch.setattr(configuration_proof, "time", clock)
         self.patch.setattr(store_mirror, "time", clock)
-        self.trust = KeyTrust(REVOKE_SECONDS)
+        self.trust = ProofAgeLimit(REVOKE_SECONDS)
         self.boxes = [StoreMirror({}, KEY) for _ in range(BOXES)]
         # When each revision was confirmed.
         self.confirmed = {1: self.now}
@@ -116,7 +116,7 @@
     @invariant()
     def no_key_outlives_its_bound(self):
         for mirror in self.boxes:
-            if not self.trust.covers(mirror.proof.age_seconds):
+            if not self.trust.accepts(mirror.proof.age_seconds):
                 continue
             for revision, confirmed_at in self.confirmed.items():
                 if revision > mirror.configuration_revision:
@@ -131,8 +131,8 @@
 
 
 def test_a_box_with_a_proof_at_hand_refuses_nothing():
-    trust = KeyTrust(REVOKE_SECONDS)
-    assert trust.covers(REVOKE_SECONDS - MARGIN_SECONDS - 0.01)
-    assert not trust.covers(REVOKE_SECONDS - MARGIN_SECONDS)
-    assert not trust.covers(float("inf"))
-    assert KeyTrust(0).covers(float("inf"))
+    trust = ProofAgeLimit(REVOKE_SECONDS)
+    assert trust.accepts(REVOKE_SECONDS - MARGIN_SECONDS - 0.01)
+    assert not trust.accepts(REVOKE_SECONDS - MARGIN_SECONDS)
+    assert not trust.accepts(float("inf"))
+    assert ProofAgeLimit(0).accepts(float("inf"))
--- a/tests/stateful/test_quorum_machine.py
+++ b/tests/stateful/test_quorum_machine.py
@@ -24,20 +24,20 @@
 
 from cedarchute.metrics import Metrics
 from cedarchute.turns import holder_fanout, turn_quorum
+from cedarchute.turns.active_seat_table import ActiveSeatTable
 from cedarchute.turns.catch_up import CatchUp
 from cedarchute.turns.chain_reader import NoSuchTurnError
+from cedarchute.turns.group_commit_writer import GroupCommitWriter
 from cedarchute.turns.holder import Holder, HolderError
 from cedarchute.turns.holder_client import HolderRefusedError, HolderUnavailableError
 from cedarchute.turns.holder_fanout import NoQuorumError
 from cedarchute.turns.messages import Refused
 from cedarchute.turns.records import Settled, Turn
-from cedarchute.turns.seat_book import SeatBook
 from cedarchute.turns.seat_table import Seat, SeatTable
-from cedarchute.turns.seen_table import SeenTable
-from cedarchute.turns.turn_book import TurnBook
+from cedarchute.turns.seat_version_file import SeatVersionFile
 from cedarchute.turns.turn_journal import TurnJournal
 from cedarchute.turns.turn_quorum import BudgetSpentError, TurnQuorum
-from cedarchute.turns.turn_writer import TurnWriter
+from cedarchute.turns.turn_storage import TurnStorage
 
 BUDGET = 100
 MOST = 30
@@ -57,11 +57,11 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(turn_quorum, "ANSWER_SECONDS", LONG_SECONDS)
         patch.setattr(turn_quorum, "FINISH_SECONDS", LONG_SECONDS)
-        patch.setattr(holder_fanout, "PAUSE_SECONDS", 2 * LONG_SECONDS)
+        patch.setattr(holder_fanout, "RETRY_DELAY_SECONDS", 2 * LONG_SECONDS)
         patch.setattr(holder_fanout, "HEDGE_SECONDS", LONG_SECONDS)
         patch.setattr(holder_fanout, "LATE_SECONDS", LONG_SECONDS)
-        patch.setattr(holder_fanout, "CUT_OFF_SECONDS", LONG_SECONDS)
-        patch.setattr(holder_fanout, "WANTED_SECONDS", 0.0)
+        patch.setattr(holder_fanout, "ISOLATED_AFTER_SECONDS", LONG_SECONDS)
+        patch.setattr(holder_fanout, "PREFERRED_WAIT_SECONDS", 0.0)
         yield
 
 
@@ -80,7 +80,7 @@
         self.box = box
         self.disks = number * 1000
         self.mode = "up"
-        self.seats = SeatBook()
+        self.seats = ActiveSeatTable()
         self.new_disk()
         self.holder.caught_up = True
 
@@ -92,9 +92,9 @@
 
     def start(self):
         journal = DirectJournal(self.folder / self.disk)
-        self.book = TurnBook(TurnWriter(journal, Metrics()))
+        self.book = TurnStorage(GroupCommitWriter(journal, Metrics()))
         self.book.load()
-        seen = SeenTable(self.folder / self.disk)
+        seen = SeatVersionFile(self.folder / self.disk)
         self.holder = Holder(self.book, self.seats, self.disk, seen)
 
     def restart(self):
@@ -149,11 +149,11 @@
         client = FakeClient(self.holders)
         self.entries = []
         for box in boxes[:2]:
-            book = SeatBook()
-            book.offer(self.table, "test")
+            book = ActiveSeatTable()
+            book.update(self.table, "test")
             self.entries.append(TurnQuorum(book, client, box, Metrics()))
         for holder in self.holders.values():
-            holder.seats.offer(self.table, "test")
+            holder.seats.update(self.table, "test")
         self.client = client
         self.count = 0
         self.handed = dict.fromkeys(PROGRAMS, 0)
@@ -201,7 +201,7 @@
         quorum = self.entries[entry]
         quorum.fanout.failing_since = None
         try:
-            quorum.take(turn)
+            quorum.write(turn)
         except NoQuorumError:
             return
         before = self.kept[previous][1] if previous else b""
@@ -213,7 +213,7 @@
         name = data.draw(st.sampled_from(sorted(self.running)))
         program, _, _ = self.running.pop(name)
         self.handed[program] += tokens
-        self.entries[entry].try_settle(Settled(program, name, tokens))
+        self.entries[entry].settle_or_log(Settled(program, name, tokens))
 
     @rule(entry=st.integers(0, 1))
     def ask_for_a_turn_that_never_was(self, entry):
@@ -250,7 +250,7 @@
         holder.new_disk()
         number = self.table.find_box(box)
         self.table = self.table.replace_seat(number, holder.seat)
-        holder.seats.offer(self.table, "test")
+        holder.seats.update(self.table, "test")
 
     @rule(data=st.data())
     def catch_up(self, data):
@@ -265,7 +265,7 @@
 
     @rule(entry=st.integers(0, 1))
     def hear_of_the_table(self, entry):
-        self.entries[entry].seats.offer(self.table, "test")
+        self.entries[entry].seats.update(self.table, "test")
 
     @invariant()
     def the_budget_holds(self):
--- a/tests/targets/test_order_keeper.py
+++ b/tests/targets/test_order_keeper.py
@@ -13,7 +13,7 @@
 from cedarchute.metrics import Metrics
 from cedarchute.operators.configuration import Configuration
 from cedarchute.operators.site_file import ServiceSection, TargetSection
-from cedarchute.targets.orders.order_keeper import TERM_SECONDS, OrderKeeper
+from cedarchute.targets.orders.engine_reconciler import TERM_SECONDS, EngineReconciler
 
 TARGET = TargetSection(service="agent", address="127.0.0.1:9000", failure_domain="a")
 SERVICE = ServiceSection(kind="model", model="small", version="2")
@@ -60,7 +60,7 @@
         store = self.store.client(FakeNetwork(), number)
         keys, view, metrics = StoreKeys("x/"), View(), Metrics()
         lease = LeaseKeeper(store, keys, view, record, 10, self.clock, metrics)
-        return OrderKeeper(
+        return EngineReconciler(
             store,
             keys,
             view,
--- a/tests/turns/test_catch_up.py
+++ b/tests/turns/test_catch_up.py
@@ -1,12 +1,12 @@
 from __future__ import annotations
 
 import pytest
-from test_turn_book import make_book, make_turn
+from test_turn_storage import make_book, make_turn
 
+from cedarchute.turns.active_seat_table import ActiveSeatTable
 from cedarchute.turns.catch_up import CatchUp
 from cedarchute.turns.holder_client import HolderRefusedError, HolderUnavailableError
 from cedarchute.turns.messages import CopiedRecords, Refused
-from cedarchute.turns.seat_book import SeatBook
 from cedarchute.turns.seat_table import Seat, SeatTable
 
 WHOLE = "whole"
@@ -39,8 +39,8 @@
     seats = tuple(Seat(name, name, f"disk-{name}", "a") for name in names)
     table = SeatTable(5, True, losses, seats)
     book = make_book(folder)
-    seat_book = SeatBook()
-    seat_book.offer(table, "test")
+    seat_book = ActiveSeatTable()
+    seat_book.update(table, "test")
     client = ScriptedClient(table, dict(zip(names[1:], states, strict=True)))
     done = CatchUp(client, book, seat_book).run_once(0)
     return done, set(book.program_of)
--- a/tests/turns/test_holder.py
+++ b/tests/turns/test_holder.py
@@ -1,21 +1,21 @@
 from __future__ import annotations
 
 import pytest
-from test_turn_book import make_book, make_turn
+from test_turn_storage import make_book, make_turn
 
-from cedarchute.turns import seen_table
+from cedarchute.turns import seat_version_file
+from cedarchute.turns.active_seat_table import ActiveSeatTable
 from cedarchute.turns.holder import Holder, HolderError
 from cedarchute.turns.messages import BeginTurn, ReadAccount, ReadChain
-from cedarchute.turns.seat_book import SeatBook
 from cedarchute.turns.seat_table import Seat, SeatTable
-from cedarchute.turns.seen_table import SeenTable
+from cedarchute.turns.seat_version_file import SeatVersionFile
 
 
 def make_holder(folder, version=3):
-    seats = SeatBook()
+    seats = ActiveSeatTable()
     seat = Seat("box-1", "127.0.0.1:1", "disk-1", "a")
-    seats.offer(SeatTable(version, True, 0, (seat,)), "test")
-    holder = Holder(make_book(folder), seats, "disk-1", SeenTable(folder))
+    seats.update(SeatTable(version, True, 0, (seat,)), "test")
+    holder = Holder(make_book(folder), seats, "disk-1", SeatVersionFile(folder))
     holder.caught_up = True
     return holder
 
@@ -35,7 +35,7 @@
 
 def test_a_turn_goes_on_from_what_was_said_before(tmp_path):
     holder = make_holder(tmp_path)
-    holder.book.take([make_turn("a"), make_turn("b", "a")])
+    holder.book.write([make_turn("a"), make_turn("b", "a")])
     begun = begin(holder, "c", "b")
     assert begun.text == b"in-aout-ain-bout-b"
     assert begun.target == "t"
@@ -76,7 +76,7 @@
     with pytest.raises(HolderError):
         begin(restarted, "u", version=4)
     table = restarted.seats.table
-    restarted.seats.offer(SeatTable(5, True, 0, table.seats), "test")
+    restarted.seats.update(SeatTable(5, True, 0, table.seats), "test")
     assert begin(restarted, "u", version=5).spent == 10
 
 
@@ -86,7 +86,7 @@
     def fail(path, data):
         raise OSError("no room")
 
-    monkeypatch.setattr(seen_table, "replace_file", fail)
+    monkeypatch.setattr(seat_version_file, "replace_file", fail)
     with pytest.raises(HolderError):
         begin(holder)
     assert holder.book.programs == {}
--- a/tests/turns/test_quota_client.py
+++ b/tests/turns/test_quota_client.py
@@ -5,11 +5,11 @@
 import pytest
 
 from cedarchute.decisions.quota_share import QuotaLimit
+from cedarchute.turns.active_seat_table import ActiveSeatTable
 from cedarchute.turns.holder_client import HolderUnavailableError
 from cedarchute.turns.holder_fanout import HolderFanout
 from cedarchute.turns.messages import QuotaAnswered
-from cedarchute.turns.quota_client import NoKeeperError, QuotaClient
-from cedarchute.turns.seat_book import SeatBook
+from cedarchute.turns.quota_client import NoQuotaServerError, QuotaClient
 from cedarchute.turns.seat_table import Seat, SeatTable
 
 LIMIT = QuotaLimit(1, 10.0, 10.0)
@@ -39,8 +39,8 @@
 def make_client(*answers):
     """Return a client of three holders, and the holders, in the order of asking."""
     seats = tuple(Seat(f"h{n}", f"h{n}", f"d{n}", "a") for n in range(3))
-    book = SeatBook()
-    book.offer(SeatTable(1, True, 1, seats), "test")
+    book = ActiveSeatTable()
+    book.update(SeatTable(1, True, 1, seats), "test")
     keepers = Keepers({})
     client = QuotaClient(HolderFanout(book, keepers), keepers, "box")
     order = [seat.address for seat in client.order_keepers("w", client.find_seats("w"))]
@@ -63,7 +63,7 @@
     }
     client.ask("w", LIMIT, False, 0.0)
     alone = SeatTable(2, True, 0, client.fanout.seats.table.seats)
-    client.fanout.seats.offer(alone, "test")
+    client.fanout.seats.update(alone, "test")
     client.ask("w", LIMIT, False, 0.0)
     assert told == [3, 1]
 
@@ -106,11 +106,11 @@
 
 def test_a_box_that_reaches_no_keeper_counts_as_cut_off_and_asks_no_more():
     client, keepers, _ = make_client(None, None, None)
-    with pytest.raises(NoKeeperError):
+    with pytest.raises(NoQuotaServerError):
         client.ask("w", LIMIT, True, 0.0)
     assert client.fanout.failing_since is not None
     client.fanout.failing_since -= 1.0
     before = len(keepers.asked)
-    with pytest.raises(NoKeeperError):
+    with pytest.raises(NoQuotaServerError):
         client.ask("w", LIMIT, True, 0.0)
     assert len(keepers.asked) == before
--- a/tests/turns/test_seat_keeper.py
+++ b/tests/turns/test_seat_manager.py
@@ -6,11 +6,11 @@
 
 from cedarchute.fleet.box_directory import BoxDirectory
 from cedarchute.fleet.box_entry import BoxEntry, Role
-from cedarchute.turns import seat_keeper
+from cedarchute.turns import seat_manager
+from cedarchute.turns.active_seat_table import ActiveSeatTable
 from cedarchute.turns.holder_client import HolderRefusedError, HolderUnavailableError
 from cedarchute.turns.messages import Refused
-from cedarchute.turns.seat_book import SeatBook
-from cedarchute.turns.seat_keeper import SeatKeeper
+from cedarchute.turns.seat_manager import SeatManager
 from cedarchute.turns.seat_table import Seat, SeatTable
 
 
@@ -32,12 +32,12 @@
         for box in ("a", "b", "c")
     )
     table = SeatTable(4, True, 1, seats)
-    book = SeatBook()
-    book.offer(table, "test")
+    book = ActiveSeatTable()
+    book.update(table, "test")
     directory = BoxDirectory()
     for box in registered:
         directory.put(BoxEntry(box, Role.HOLDER, "a", "region", "", box))
-    keeper = SeatKeeper(
+    keeper = SeatManager(
         store=None,
         seats=book,
         holder=SimpleNamespace(caught_up=False),
@@ -57,7 +57,7 @@
 @pytest.fixture
 def clock(monkeypatch):
     clock = SimpleNamespace(now=100.0)
-    monkeypatch.setattr(seat_keeper.time, "monotonic", lambda: clock.now)
+    monkeypatch.setattr(seat_manager.time, "monotonic", lambda: clock.now)
     return clock
 
 
@@ -71,14 +71,14 @@
 def test_a_holder_that_lost_its_entry_but_answers_keeps_its_seat(clock):
     keeper, table = make_keeper(("a",), ("b",))
     assert keeper.find_free(table) is None
-    clock.now += seat_keeper.ABSENT_SECONDS + 1
+    clock.now += seat_manager.ABSENT_SECONDS + 1
     assert keeper.find_free(table) == 2
 
 
 def test_a_restart_is_waited_for(clock):
     keeper, table = make_keeper(("a", "b"), ())
     assert keeper.find_free(table) is None
-    clock.now += seat_keeper.ABSENT_SECONDS / 2
+    clock.now += seat_manager.ABSENT_SECONDS / 2
     assert keeper.find_free(table) is None
 
 
@@ -88,7 +88,7 @@
     clock.now += 1
     keeper.directory.known.drop("a")
     keeper.note_absent(table)
-    clock.now += seat_keeper.ABSENT_SECONDS + 1
+    clock.now += seat_manager.ABSENT_SECONDS + 1
     assert keeper.find_free(table) == 2
 
 
@@ -101,8 +101,8 @@
     """Let a keeper hold the first seat of a new table; return its changes."""
     changes = []
     seats = tuple(Seat(box, box, f"disk-{box}", "a") for box in boxes)
-    keeper.seats = SeatBook()
-    keeper.seats.offer(SeatTable(1, False, losses, seats), "test")
+    keeper.seats = ActiveSeatTable()
+    keeper.seats.update(SeatTable(1, False, losses, seats), "test")
     keeper.losses = losses
     keeper.me = seats[0]
     keeper.change = changes.append
@@ -114,10 +114,10 @@
     keeper, _ = make_keeper(boxes, boxes)
     changes = make_open(keeper, boxes, losses=2)
     keeper.step()
-    clock.now += seat_keeper.OPEN_SECONDS + 0.1
+    clock.now += seat_manager.OPEN_SECONDS + 0.1
     keeper.step()
     assert changes == []
-    clock.now += seat_keeper.FEW_SECONDS
+    clock.now += seat_manager.FEW_SECONDS
     keeper.step()
     assert [(table.closed, len(table.seats)) for table in changes] == [
         (True, len(boxes))
@@ -174,10 +174,10 @@
     changes = make_leaving(keeper, "b")
     for _ in range(3):
         keeper.step()
-        clock.now += seat_keeper.SUCCESSOR_SECONDS + 1
+        clock.now += seat_manager.SUCCESSOR_SECONDS + 1
     assert changes == []
     # A spare takes the vacant seat, and then this one may go.
     table = keeper.seats.table
-    keeper.seats.offer(table.replace_seat(0, Seat("d", "d", "disk-d", "a")), "test")
+    keeper.seats.update(table.replace_seat(0, Seat("d", "d", "disk-d", "a")), "test")
     keeper.step()
     assert [seat.box for seat in changes[0].seats] == ["d", "", "c"]
--- a/tests/turns/test_turn_quorum.py
+++ b/tests/turns/test_turn_quorum.py
@@ -4,16 +4,16 @@
 
 import eventlet
 import pytest
-from test_turn_book import make_turn
+from test_turn_storage import make_turn
 
 from cedarchute.metrics import Metrics
 from cedarchute.turns import holder_fanout, turn_quorum
 from cedarchute.turns.account_sum import sum_accounts
+from cedarchute.turns.active_seat_table import ActiveSeatTable
 from cedarchute.turns.chain_reader import NoSuchTurnError
 from cedarchute.turns.holder_client import HolderUnavailableError
 from cedarchute.turns.holder_fanout import NoQuorumError
 from cedarchute.turns.messages import Account, Chain, TurnBegun
-from cedarchute.turns.seat_book import SeatBook
 from cedarchute.turns.seat_table import Seat, SeatTable
 from cedarchute.turns.turn_quorum import TurnQuorum
 
@@ -21,7 +21,7 @@
 @pytest.fixture(autouse=True)
 def no_waiting(monkeypatch):
     monkeypatch.setattr(turn_quorum, "ANSWER_SECONDS", 0.01)
-    monkeypatch.setattr(holder_fanout, "PAUSE_SECONDS", 0.02)
+    monkeypatch.setattr(holder_fanout, "RETRY_DELAY_SECONDS", 0.02)
 
 
 class SlowClient:
@@ -55,8 +55,8 @@
 
 def make_quorum(states, vacant=0, losses=1):
     seats = tuple(Seat(name, name, f"disk-{name}", "a") for name in states)
-    book = SeatBook()
-    book.offer(SeatTable(2, True, losses, seats + (Seat(),) * vacant), "test")
+    book = ActiveSeatTable()
+    book.update(SeatTable(2, True, losses, seats + (Seat(),) * vacant), "test")
     client = ScriptedClient(states)
     return TurnQuorum(book, client, "a", Metrics()), client
 
@@ -99,8 +99,8 @@
 
 def test_holders_in_the_own_domain_are_asked_first_and_no_more_than_needed():
     seats = tuple(Seat(n, n, f"disk-{n}", d) for n, d in zip("abc", "xyz", strict=True))
-    book = SeatBook()
-    book.offer(SeatTable(2, True, 1, seats), "test")
+    book = ActiveSeatTable()
+    book.update(SeatTable(2, True, 1, seats), "test")
 
     class AccountClient(ScriptedClient):
         def ask(self, address, path, message, answer):
@@ -120,22 +120,24 @@
     monkeypatch.setattr(holder_fanout, "HOPELESS_SECONDS", 0.01)
     quorum, _ = make_quorum(dict.fromkeys("abc", "has"))
     quorum.fanout.client = SlowClient(0.1)
-    quorum.fanout.failing_since = time.monotonic() - holder_fanout.CUT_OFF_SECONDS - 1
+    quorum.fanout.failing_since = (
+        time.monotonic() - holder_fanout.ISOLATED_AFTER_SECONDS - 1
+    )
     return quorum
 
 
 def test_what_a_caller_may_ask_elsewhere_is_given_up_early(slow):
-    assert slow.fanout.is_cut_off
+    assert slow.fanout.is_isolated
     with pytest.raises(NoQuorumError):
         slow.reserve("p", "t", 3, "")
 
 
 def test_the_end_of_a_turn_is_never_given_up_early(slow):
-    slow.take(make_turn("t"))
-    assert not slow.fanout.is_cut_off
+    slow.write(make_turn("t"))
+    assert not slow.fanout.is_isolated
 
 
 def test_a_box_whose_holders_are_only_slow_finds_out(slow):
     slow.probe()
-    assert not slow.fanout.is_cut_off
+    assert not slow.fanout.is_isolated
     slow.reserve("p", "t", 3, "")
--- a/tests/turns/test_turn_book.py
+++ b/tests/turns/test_turn_storage.py
@@ -1,15 +1,15 @@
 from __future__ import annotations
 
 from cedarchute.metrics import Metrics
+from cedarchute.turns.group_commit_writer import GroupCommitWriter
 from cedarchute.turns.program_turns import ProgramTurns
 from cedarchute.turns.records import Reserved, Settled, Turn
-from cedarchute.turns.turn_book import TurnBook
 from cedarchute.turns.turn_journal import TurnJournal
-from cedarchute.turns.turn_writer import TurnWriter
+from cedarchute.turns.turn_storage import TurnStorage
 
 
 def make_book(folder):
-    return TurnBook(TurnWriter(TurnJournal(folder), Metrics()))
+    return TurnStorage(GroupCommitWriter(TurnJournal(folder), Metrics()))
 
 
 def make_turn(name, previous="", program="p", tokens=3):
@@ -21,7 +21,7 @@
 
 def test_a_chain_is_told_oldest_first(tmp_path):
     book = make_book(tmp_path)
-    book.take([make_turn("a"), make_turn("b", "a"), make_turn("c", "b")])
+    book.write([make_turn("a"), make_turn("b", "a"), make_turn("c", "b")])
     chain, missing = book.collect_chain("c")
     assert [turn.turn for turn in chain] == ["a", "b", "c"]
     assert missing == ""
@@ -29,7 +29,7 @@
 
 def test_a_chain_goes_on_across_programs(tmp_path):
     book = make_book(tmp_path)
-    book.take([make_turn("a", program="old"), make_turn("b", "a", program="new")])
+    book.write([make_turn("a", program="old"), make_turn("b", "a", program="new")])
     chain, missing = book.collect_chain("b")
     assert [turn.program for turn in chain] == ["old", "new"]
     assert missing == ""
@@ -37,7 +37,7 @@
 
 def test_a_chain_with_a_gap_tells_what_lacks(tmp_path):
     book = make_book(tmp_path)
-    book.take([make_turn("c", "b")])
+    book.write([make_turn("c", "b")])
     chain, missing = book.collect_chain("c")
     assert [turn.turn for turn in chain] == ["c"]
     assert missing == "b"
@@ -45,14 +45,14 @@
 
 def test_an_unknown_turn_is_no_fault_whatever_programs_there_are(tmp_path):
     book = make_book(tmp_path)
-    book.take([Reserved("", "x", 1)])
+    book.write([Reserved("", "x", 1)])
     assert book.collect_chain("unknown") == ([], "unknown")
 
 
 def test_what_was_taken_is_there_after_a_restart(tmp_path):
     book = make_book(tmp_path)
-    book.take([make_turn("a"), Reserved("p", "b", 10), Reserved("p", "c", 10)])
-    book.take([Settled("p", "c", 4)])
+    book.write([make_turn("a"), Reserved("p", "b", 10), Reserved("p", "c", 10)])
+    book.write([Settled("p", "c", 4)])
     again = make_book(tmp_path)
     again.load()
     assert again.find("p").open == {"b": 10}
@@ -62,8 +62,8 @@
 
 def test_a_torn_tail_loses_only_itself(tmp_path):
     book = make_book(tmp_path)
-    book.take([make_turn("a")])
-    book.take([make_turn("b", "a")])
+    book.write([make_turn("a")])
+    book.write([make_turn("b", "a")])
     segment = next(tmp_path.glob("*.journal"))
     data = segment.read_bytes()
     first = data.index(b"\n") + 1
@@ -71,7 +71,7 @@
     again = make_book(tmp_path)
     again.load()
     assert list(again.find("p").whole) == ["a"]
-    again.take([make_turn("c", "a")])
+    again.write([make_turn("c", "a")])
     third = make_book(tmp_path)
     third.load()
     assert list(third.find("p").whole) == ["a", "c"]
@@ -79,17 +79,17 @@
 
 def test_a_late_reservation_does_not_open_a_settled_turn(tmp_path):
     book = make_book(tmp_path)
-    book.take([Settled("p", "a", 2)])
-    book.take([Reserved("p", "a", 50)])
+    book.write([Settled("p", "a", 2)])
+    book.write([Reserved("p", "a", 50)])
     assert book.find("p").spent == 2
 
 
 def test_compaction_keeps_what_is_alive(tmp_path):
     book = make_book(tmp_path)
     for number in range(20):
-        book.take([make_turn(f"t{number}", f"t{number - 1}" if number else "")])
+        book.write([make_turn(f"t{number}", f"t{number - 1}" if number else "")])
     before = sum(path.stat().st_size for path in tmp_path.glob("*.journal"))
-    book.take([Reserved("over", "x", 1)] * 200)
+    book.write([Reserved("over", "x", 1)] * 200)
     del book.programs["over"]
     book.compact()
     after = sum(path.stat().st_size for path in tmp_path.glob("*.journal"))
@@ -101,14 +101,14 @@
 
 def test_the_smallest_budget_named_outlasts_compaction(tmp_path):
     book = make_book(tmp_path)
-    book.take([Reserved("p", "a", 10, 900), Reserved("p", "b", 10, 50)])
-    book.take([Settled("p", "a", 3), Settled("p", "b", 3), Reserved("p", "c", 1, 70)])
+    book.write([Reserved("p", "a", 10, 900), Reserved("p", "b", 10, 50)])
+    book.write([Settled("p", "a", 3), Settled("p", "b", 3), Reserved("p", "c", 1, 70)])
     again = ProgramTurns()
     for record in book.find("p").list_records("p"):
         again.apply(record)
     assert again.budget == 50
     assert again.spent == book.find("p").spent == 7
-    book.take([Settled("p", "c", 1)])
+    book.write([Settled("p", "c", 1)])
     settled = ProgramTurns()
     for record in reversed(book.find("p").list_records("p")):
         settled.apply(record)
