--- a/tests/calls/test_quota_check.py
+++ b/tests/calls/test_quota_check.py
@@ -4,13 +4,13 @@
 
 import eventlet
 import pytest
-from cedarchute.calls.caller_identity import CallerIdentity
 from eventlet.event import Event
 from greenlet import GreenletExit
 
 from cedarchute.calls import quota_check
 from cedarchute.calls.call import Call, ProgramContext
 from cedarchute.calls.call_errors import CallRefusedError
+from cedarchute.calls.caller_identity import CallerIdentity
 from cedarchute.calls.quota_check import QuotaCheck, find_patience
 from cedarchute.decisions.quota_share import MAX_WAIT_SECONDS, QuotaGrant
 from cedarchute.metrics import Metrics
