--- a/src/cedarchute/calls/__init__.py
+++ b/src/cedarchute/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of callers: one plain call, one turn of a program."""
+"""Handles calls of callers: plain calls and streamed turns of programs."""
--- a/src/cedarchute/calls/attempts.py
+++ b/src/cedarchute/calls/attempts.py
@@ -1,4 +1,4 @@
-"""Tries a call at one target after another, as far as it may be tried."""
+"""Sends a call to targets, one after another, within the limits of its route."""
 
 from __future__ import annotations
 
@@ -24,24 +24,32 @@
 
 log = logging.getLogger("cedarchute.calls")
 
-# When all targets are full, one of them has room again within about this.
-FULL_WAIT_SECONDS: Final = 0.03
-# A call that found no room for this share of its objective is given up: the caller
-# may find room elsewhere.
-FULL_SHARE: Final = 0.25
+# Interval between checks for capacity while all targets are full.
+FULL_POLL_SECONDS: Final = 0.03
+# Share of the route's objective that a call may wait for capacity before it is
+# rejected; the caller may find capacity at another box.
+MAX_FULL_WAIT_SHARE: Final = 0.25
 RETRY_AFTER_SECONDS: Final = 0.15
-# A repeatable call is sent to another target when the first is silent for this many
-# times its route's objective, or this many times what that target usually takes:
-# longer than nearly every answer, short enough for the other to be in time.
-SILENT_OBJECTIVES: Final = 1.25
-SILENT_MEANS: Final = 4.0
+# A repeatable call fails over once a target has not answered for this many times the
+# route's objective and this many times the target's mean latency.
+FAILOVER_OBJECTIVES: Final = 1.25
+FAILOVER_MEAN_LATENCIES: Final = 4.0
 
 
 class Attempts:
-    """The tries of one call.
-
-    A call that may have run is sent again only if it is repeatable, and runs on no
-    more targets than its route allows.
+    """The attempts of one call.
+
+    A call that may have run is retried only if it is repeatable, and runs on at most
+    as many targets as its route allows.
+
+    Attributes
+    ----------
+    tried : set of str
+        Ids of targets that are excluded from the next attempt.
+    possible_runs : int
+        Number of targets that have run the call or may have.
+    deadline : float
+        Monotonic time at which the call times out.
     """
 
     def __init__(
@@ -53,7 +61,7 @@
         route: Route,
         service: str,
         body: bytes,
-        preferred: str = "",
+        preferred_target: str = "",
         meter: PaceMeter | None = None,
     ) -> None:
         self.exchange = exchange
@@ -63,27 +71,27 @@
         self.route = route
         self.service = service
         self.body = body
-        self.preferred = preferred
+        self.preferred_target = preferred_target
         self.meter = meter
         self.tried: set[str] = set()
-        self.runs = 0
-        self.until = request.read_at + route.timeout_seconds
+        self.possible_runs = 0
+        self.deadline = request.read_at + route.timeout_seconds
         if call.patience_seconds is not None:
-            patience = request.read_at + call.patience_seconds
-            self.until = min(self.until, patience)
-        full_seconds = FULL_SHARE * route.objective_seconds
-        self.full_until = time.monotonic() + full_seconds
+            caller_deadline = request.read_at + call.patience_seconds
+            self.deadline = min(self.deadline, caller_deadline)
+        max_full_wait = MAX_FULL_WAIT_SHARE * route.objective_seconds
+        self.full_wait_deadline = time.monotonic() + max_full_wait
 
     def open(self) -> OpenAnswer:
-        """Return the first answer of a target that took the call.
+        """Send the call until a target answers; return that response.
 
         Raises
         ------
         CallRefusedError
-            When no target is left to try, or no time.
+            When no target or no time is left.
         """
         while True:
-            target = self.next_target()
+            target = self.choose_target()
             self.tried.add(target.id)
             log.info(
                 "Call sent.",
@@ -91,22 +99,22 @@
                     "target": target.id,
                     "service": self.service,
                     "active": self.exchange.choice.loads[target.start].active,
-                    "preferred": target.start == self.preferred,
-                    "ms_left": round((self.until - time.monotonic()) * 1000),
+                    "preferred": target.start == self.preferred_target,
+                    "ms_left": round((self.deadline - time.monotonic()) * 1000),
                 },
             )
             try:
                 opened = self.send(target)
             except TargetFailureError as error:
-                self.note_failure(error)
+                self.handle_attempt_failure(error)
                 continue
             except CallRefusedError as error:
-                raise self.refuse(error) from None
-            self.runs += 1
+                raise self.resolve_refusal(error) from None
+            self.possible_runs += 1
             return opened
 
     def send(self, target: TargetEntry) -> OpenAnswer:
-        """Send the call; its wait for an answer counts as soon as it is long."""
+        """Send the call to `target`; report its wait to the pace meter."""
         wait = None
         if self.meter is not None:
             wait = self.meter.begin_wait(target.start, time.monotonic())
@@ -116,63 +124,69 @@
                 self.call,
                 target,
                 self.body,
-                self.until,
-                self.find_patience(target),
+                self.deadline,
+                self.compute_read_deadline(target),
             )
         finally:
             if wait is not None:
                 self.meter.end_wait(wait)
 
-    def find_patience(self, target: TargetEntry) -> float:
-        """Return until when this target may be silent."""
+    def compute_read_deadline(self, target: TargetEntry) -> float:
+        """Return the monotonic time at which the call fails over from `target`."""
         if self.route.repeatability is not Repeatability.REPEATABLE:
-            return self.until
-        if self.runs + 1 >= self.route.max_targets:
-            return self.until
-        seconds = SILENT_OBJECTIVES * self.route.objective_seconds
-        usual = self.exchange.choice.loads[target.start].seconds or 0.0
-        patience = max(seconds, SILENT_MEANS * usual)
-        return min(self.until, time.monotonic() + patience)
-
-    def next_target(self) -> TargetEntry:
-        """Return the target to try next; wait a moment when all are full."""
+            return self.deadline
+        if self.possible_runs + 1 >= self.route.max_targets:
+            return self.deadline
+        seconds = FAILOVER_OBJECTIVES * self.route.objective_seconds
+        mean_latency = self.exchange.choice.loads[target.start].seconds or 0.0
+        max_silence = max(seconds, FAILOVER_MEAN_LATENCIES * mean_latency)
+        return min(self.deadline, time.monotonic() + max_silence)
+
+    def choose_target(self) -> TargetEntry:
+        """Return the next target; wait for capacity if all are full."""
         while True:
-            if time.monotonic() >= self.until:
-                raise self.give_up("no time left")
+            if time.monotonic() >= self.deadline:
+                raise self.make_final_error("no time left")
             choice = self.exchange.choice
-            target = choice.choose(self.service, self.tried, self.preferred)
+            target = choice.choose(self.service, self.tried, self.preferred_target)
             if target is not None:
                 return target
-            if time.monotonic() >= self.full_until:
-                raise self.give_up("no target takes it")
-            eventlet.sleep(FULL_WAIT_SECONDS)
+            if time.monotonic() >= self.full_wait_deadline:
+                raise self.make_final_error("no target takes it")
+            eventlet.sleep(FULL_POLL_SECONDS)
             self.tried.clear()
 
-    def note_failure(self, error: TargetFailureError) -> None:
-        """Take in a failed try; raise when there must not be another."""
+    def handle_attempt_failure(self, error: TargetFailureError) -> None:
+        """Count a failed attempt; raise if the call must not be retried."""
         if error.verdict is Verdict.NOT_RUN:
             self.metrics.count_retry("not_run")
             return
-        self.runs += 1
-        self.check_repeatable(error.reason)
+        self.possible_runs += 1
+        self.ensure_repeatable(error.reason)
         self.metrics.count_retry("may_have_run")
 
-    def check_repeatable(self, reason: str) -> None:
-        """Raise unless a call that may have run may be sent again."""
+    def ensure_repeatable(self, reason: str) -> None:
+        """Raise unless a call that may have run can be retried."""
         if self.route.repeatability is not Repeatability.REPEATABLE:
-            raise self.give_up(reason)
-        if self.runs >= self.route.max_targets:
-            raise self.give_up(reason)
-
-    def refuse(self, error: CallRefusedError) -> CallRefusedError:
-        """Return the answer to a call whose key lets it pass no more."""
-        return self.give_up(error.reason) if self.runs else error
-
-    def give_up(self, reason: str) -> CallRefusedError:
-        """Return the final answer: what is known of the call decides it."""
-        self.metrics.count_refusal("ran" if self.runs else "not_run")
-        if not self.runs:
+            raise self.make_final_error(reason)
+        if self.possible_runs >= self.route.max_targets:
+            raise self.make_final_error(reason)
+
+    def resolve_refusal(self, error: CallRefusedError) -> CallRefusedError:
+        """Return the error of a call whose key failed revalidation.
+
+        If an earlier attempt may have run, the status must not say that none did.
+        """
+        return self.make_final_error(error.reason) if self.possible_runs else error
+
+    def make_final_error(self, reason: str) -> CallRefusedError:
+        """Return the final error.
+
+        The status is 503 if no target ran the call, 504 after its deadline, else 502.
+        """
+        self.metrics.count_refusal("ran" if self.possible_runs else "not_run")
+        if not self.possible_runs:
             return CallRefusedError(503, reason, RETRY_AFTER_SECONDS)
-        if time.monotonic() >= self.until:
+        if time.monotonic() >= self.deadline:
             return CallRefusedError(504, reason)
         return CallRefusedError(502, reason)
--- a/src/cedarchute/calls/call.py
+++ b/src/cedarchute/calls/call.py
@@ -1,4 +1,4 @@
-"""What a caller's request asks for, decoded."""
+"""The decoded form of a caller's request."""
 
 from __future__ import annotations
 
@@ -12,18 +12,21 @@
 
 
 class ProgramTerms(Record):
-    """What a call says of the program that it belongs to.
+    """The program that a call belongs to, as the call states it.
 
     Attributes
     ----------
+    program : str
+        Id of the program; empty for a call without one.
     budget : int or None
-        Tokens that all turns of the program may generate, if it is bounded.
+        Maximum number of tokens that all turns of the program may generate; None
+        if unlimited.
     previous : str
-        The turn that this one goes on from; empty at the start of a chain.
+        Id of the turn that this one continues; empty at the start of a chain.
     most_tokens : int
-        Tokens that this turn generates at the most.
+        Maximum number of tokens that this turn generates.
     aim_seconds : float or None
-        What is left of the time that the whole program should take.
+        Time left until the program's soft deadline.
     """
 
     program: str
@@ -34,16 +37,16 @@
 
 
 class Call(Record):
-    """One try of a caller.
+    """One attempt of a caller.
 
     Attributes
     ----------
     id : str
-        Names this try; the next try of the same request has another.
+        Unique per attempt: a retry of the same request has another id.
     patience_seconds : float or None
-        How long the caller waits, from when it asked.
+        The caller's timeout, counted from the start of its request.
     permit : Permit or None
-        Whose the call is; None where workspaces hold no keys.
+        The authenticated caller; None if no workspace has keys configured.
     """
 
     id: str
@@ -53,18 +56,18 @@
 
     @property
     def workspace(self) -> str:
-        """The name of the workspace whose call it is, empty when it is nobody's."""
+        """The name of the caller's workspace; empty if unknown."""
         if self.permit is None or self.permit.workspace is None:
             return ""
         return self.permit.workspace.name
 
     @property
     def program_key(self) -> str:
-        """The program's name over all workspaces, empty without a program."""
+        """The program's key, unique across workspaces; empty without a program."""
         program = self.program.program
         return make_program_key(self.workspace, program) if program else ""
 
     @property
     def begins_program(self) -> bool:
-        """Whether it is the first of a program, as far as the call itself tells."""
+        """Whether the call is the first turn of a program, judged by its headers."""
         return self.program.most_tokens > 0 and not self.program.previous
--- a/src/cedarchute/calls/call_desk.py
+++ b/src/cedarchute/calls/call_desk.py
@@ -1,4 +1,4 @@
-"""Takes each request of a caller to the kind of call that answers it."""
+"""Dispatches each request of a caller to the handler of its route."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 log = logging.getLogger("cedarchute.calls")
 
-# A box that has just started reads its configuration within some 20 ms; a caller that
-# comes first waits for it rather than spend one of its few tries.
+# How long a call waits for the first configuration after the start of a box before it
+# is rejected, which would cost the caller one of its attempts.
 FIRST_CONFIGURATION_SECONDS = 0.25
 NO_CONFIGURATION_RETRY_SECONDS = 0.3
 
 
 class CallDesk:
-    """Routes calls; whatever happens, each gets one final answer."""
+    """Routes calls and sends exactly one final response for each."""
 
     def __init__(
         self,
@@ -58,35 +58,39 @@
         self.metrics = metrics
 
     def handle(self, request: CallerRequest, writer: ReplyWriter) -> None:
-        """Answer one request."""
+        """Handle one request."""
         call_id = request.headers.get_text(ANSWER_ID)
         set_request_id(call_id)
         try:
             call = read_call(request)
-            self.answer(request, writer, call)
+            self.route_call(request, writer, call)
         except CallRefusedError as error:
-            self.refuse(request, writer, call_id, error)
+            self.send_refusal(request, writer, call_id, error)
         except RequestError as error:
             refusal = CallRefusedError(error.status, error.reason)
-            self.refuse(request, writer, call_id, refusal)
+            self.send_refusal(request, writer, call_id, refusal)
         except (OSError, GreenletExit):
-            self.note_caller_left(request)
+            self.record_caller_disconnect(request)
             raise
         except Exception as error:
-            log.exception("A call failed within the box.")
+            log.exception("Unhandled exception while handling a call.")
             refusal = CallRefusedError(502, f"fault of this box: {error}")
-            self.refuse(request, writer, call_id, refusal)
+            self.send_refusal(request, writer, call_id, refusal)
 
-    def answer(self, request: CallerRequest, writer: ReplyWriter, call: Call) -> None:
-        """Answer one call by the route that it takes."""
+    def route_call(
+        self, request: CallerRequest, writer: ReplyWriter, call: Call
+    ) -> None:
+        """Authenticate a call, check its quota and pass it to its handler."""
         table = self.routes.wait(FIRST_CONFIGURATION_SECONDS)
         if table is None:
             wait = NO_CONFIGURATION_RETRY_SECONDS
             raise CallRefusedError(503, "no configuration yet", wait)
         route = table.find(request.host, request.path)
         if route is None:
-            raise CallRefusedError(404, "no route", facts=self.keys.tell_proof())
-        call = replace(call, permit=self.keys.identify(request, call, route, table))
+            raise CallRefusedError(
+                404, "no route", facts=self.keys.describe_freshness()
+            )
+        call = replace(call, permit=self.keys.authenticate(request, call, route, table))
         self.quota.check(call, self.routes.version)
         if route.is_stream:
             self.turns.run(request, writer, call, route)
@@ -106,12 +110,12 @@
             },
         )
 
-    def note_caller_left(self, request: CallerRequest) -> None:
-        """Log that the caller closed its connection before its answer was whole."""
+    def record_caller_disconnect(self, request: CallerRequest) -> None:
+        """Log that the caller disconnected before its response was complete."""
         self.metrics.count("calls.caller_left")
         seconds = time.monotonic() - request.read_at
         log.info(
-            "Caller left.",
+            "Caller disconnected.",
             extra={
                 "path": request.path.decode("latin-1"),
                 "program": read_program(request),
@@ -119,14 +123,14 @@
             },
         )
 
-    def refuse(
+    def send_refusal(
         self,
         request: CallerRequest,
         writer: ReplyWriter,
         call_id: str,
         error: CallRefusedError,
     ) -> None:
-        """Answer with a status of our own; an answer under way is broken off."""
+        """Send an error response, or end a response that has already begun."""
         self.metrics.count_refusal(f"status_{error.status}")
         seconds = time.monotonic() - request.read_at
         log.info(
--- a/src/cedarchute/calls/call_errors.py
+++ b/src/cedarchute/calls/call_errors.py
@@ -1,4 +1,4 @@
-"""Why a call gets an answer of our own."""
+"""Errors that end a call with a response of the box itself."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 
 class CallRefusedError(Exception):
-    """A call is given up; the status promises what is known.
+    """A call ends without a target's response.
 
     Attributes
     ----------
     status : int
-        503 and 402 promise that nothing ran and nothing will; 502 and 504 promise
-        nothing.
+        HTTP status of the response. 402 and 503 guarantee that no target ran the
+        call or will run it; 502 and 504 guarantee nothing.
+    reason : str
+        Text of the response.
     retry_after_seconds : float or None
-        When to come back, if that helps.
+        Value of the ``Retry-After`` header; None if a retry would not help.
     facts : Mapping
-        What it was decided by, for the log.
+        Inputs of the decision, added to the log line.
     """
 
     code = "call_refused"
--- a/src/cedarchute/calls/key_check.py
+++ b/src/cedarchute/calls/key_check.py
@@ -1,4 +1,4 @@
-"""Tells whose a call is by its key, and that the key holds until the call is sent."""
+"""Authenticates calls by API key and revalidates the key before each send."""
 
 from __future__ import annotations
 
@@ -20,38 +20,39 @@
     from cedarchute.routing.route_table import RouteTable
     from cedarchute.routing.workspace import Workspace
 
-# A box that has just started or woken up gets its proof within some 10 ms; the calls
-# that come first wait for it rather than spend one of their few tries.
-PROOF_SECONDS: Final = 0.05
-# Callers come back to another box, which may have a proof.
+# How long a call waits for a freshness proof after the start or a pause of the box
+# before it is rejected, which would cost the caller one of its attempts.
+REFRESH_WAIT_SECONDS: Final = 0.05
+# Callers retry at another box, whose configuration may be fresh.
 RETRY_AFTER_SECONDS: Final = 0.3
-# When no other box has one either, the store is away: the two or three tries of a
-# caller have to last longer than the outage goes on beyond the time that proofs hold.
-STORE_AWAY_RETRY_SECONDS: Final = 1.3
-# Callers come back within a third of the time that they have left, or not at all.
-RETRY_PATIENCE_SHARE: Final = 0.3
+# While the store is unavailable no box is fresh: the two or three attempts of a caller
+# have to outlast the part of the outage that freshness proofs do not cover.
+STORE_UNAVAILABLE_RETRY_SECONDS: Final = 1.3
+# Limits the retry delay to this share of the caller's timeout, so that the caller
+# still has time to retry.
+MAX_RETRY_TIMEOUT_SHARE: Final = 0.3
 
 
 class ProofSource(Protocol):
-    """Says since when this box's configuration may be out of date."""
+    """Reports how fresh the configuration of this box is."""
 
     @property
     def age_seconds(self) -> float:
-        """How long ago it was certainly the newest."""
+        """Time since the configuration was last known to be the newest."""
         ...
 
     @property
     def is_store_away(self) -> bool:
-        """Whether other boxes answer, and know nothing newer either."""
+        """Whether other boxes answer but have no newer configuration either."""
         ...
 
     def refresh(self, seconds: float) -> None:
-        """Look for a newer proof; return after `seconds` at most."""
+        """Look for a newer freshness proof for at most `seconds`."""
         ...
 
 
 class KeyCheck:
-    """Answers 401 for a key that is nobody's, and 503 when this box can't be sure."""
+    """Rejects unknown keys with 401, and calls on a stale configuration with 503."""
 
     def __init__(
         self, routes: RouteBook, trust: KeyTrust, proof: ProofSource, metrics: Metrics
@@ -62,82 +63,82 @@
         self.metrics = metrics
 
     @property
-    def needs_proof(self) -> bool:
-        """Whether calls need keys, and keys have to be of no use once taken away."""
+    def requires_fresh_configuration(self) -> bool:
+        """Whether keys are required and revocations take effect within a bound."""
         table = self.routes.table
         has_keys = table is not None and table.keys is not None
         return has_keys and not self.trust.is_unbounded
 
     @property
-    def is_proven(self) -> bool:
-        """Whether this box may go by the keys that it knows."""
+    def is_configuration_fresh(self) -> bool:
+        """Whether the configuration is fresh enough to authenticate calls."""
         return self.trust.covers(self.proof.age_seconds)
 
     @property
     def lacks_proof(self) -> bool:
-        """Whether callers with keys are served better elsewhere."""
-        return self.needs_proof and not self.is_proven
+        """Whether callers with keys should use another box."""
+        return self.requires_fresh_configuration and not self.is_configuration_fresh
 
-    def identify(
+    def authenticate(
         self, request: CallerRequest, call: Call, route: Route, table: RouteTable
     ) -> Permit | None:
-        """Return whose a call is; None where workspaces hold no keys.
+        """Return the caller's identity; None if no workspace has keys configured.
 
         Raises
         ------
         CallRefusedError
-            When its key lets nothing pass here; nothing ran.
+            When the key is missing or unknown, or the configuration is stale.
         """
         if table.keys is None:
             return None
         key = read_key(request)
         digest = digest_key(key) if key else b""
         if route.is_public:
-            workspace = table.keys.find(digest) if self.is_proven else None
+            workspace = table.keys.find(digest) if self.is_configuration_fresh else None
             return Permit(workspace, digest)
         if not key:
-            raise self.refuse(401, "no usable key")
-        if not self.is_proven:
-            self.proof.refresh(PROOF_SECONDS)
+            raise self.make_refusal(401, "no usable key")
+        if not self.is_configuration_fresh:
+            self.proof.refresh(REFRESH_WAIT_SECONDS)
         return Permit(self.find_workspace(digest, call), digest)
 
-    def confirm(self, call: Call) -> None:
-        """Check once more, right before a call is sent: it may have waited long."""
+    def revalidate(self, call: Call) -> None:
+        """Check the key again right before a send, as the call may have waited."""
         permit = call.permit
         if permit is None or permit.workspace is None:
             return
         found = self.find_workspace(permit.digest, call)
         if found.name != permit.workspace.name:
-            raise self.refuse(401, "the key went to another workspace")
+            raise self.make_refusal(401, "the key went to another workspace")
 
     def find_workspace(self, digest: bytes, call: Call) -> Workspace:
-        """Return the holder of a key by the newest configuration."""
-        if not self.is_proven:
-            wait = self.find_retry_seconds(call)
-            raise self.refuse(503, "the configuration is not proven", wait)
+        """Return the workspace of a key in the newest configuration."""
+        if not self.is_configuration_fresh:
+            wait = self.compute_retry_seconds(call)
+            raise self.make_refusal(503, "the configuration is not proven", wait)
         table = self.routes.table
         workspace = table.keys.find(digest) if table and table.keys else None
         if workspace is None:
-            raise self.refuse(401, "unknown key")
+            raise self.make_refusal(401, "unknown key")
         return workspace
 
-    def find_retry_seconds(self, call: Call) -> float:
-        """Return when a caller should ask again for want of a proof here."""
+    def compute_retry_seconds(self, call: Call) -> float:
+        """Return the retry delay of a call rejected for a stale configuration."""
         if not self.proof.is_store_away:
             return RETRY_AFTER_SECONDS
         if call.patience_seconds is None:
-            return STORE_AWAY_RETRY_SECONDS
-        longest = RETRY_PATIENCE_SHARE * call.patience_seconds
-        return min(STORE_AWAY_RETRY_SECONDS, longest)
+            return STORE_UNAVAILABLE_RETRY_SECONDS
+        max_seconds = MAX_RETRY_TIMEOUT_SHARE * call.patience_seconds
+        return min(STORE_UNAVAILABLE_RETRY_SECONDS, max_seconds)
 
-    def refuse(
+    def make_refusal(
         self, status: int, reason: str, retry_after_seconds: float | None = None
     ) -> CallRefusedError:
-        """Return a refusal that tells what it was decided by."""
+        """Count a rejection; return its error with the age of the configuration."""
         self.metrics.count_refusal("no_proof" if status == 503 else "key")
-        facts = self.tell_proof()
+        facts = self.describe_freshness()
         return CallRefusedError(status, reason, retry_after_seconds, facts)
 
-    def tell_proof(self) -> dict[str, float]:
-        """Return how old this box's knowledge is, for a line about a refusal."""
+    def describe_freshness(self) -> dict[str, float]:
+        """Return the age of the configuration as log fields of a rejection."""
         return {"proof_age": tell_age(self.proof.age_seconds)}
--- a/src/cedarchute/calls/permit.py
+++ b/src/cedarchute/calls/permit.py
@@ -1,4 +1,4 @@
-"""Whose a call is, where workspaces hold keys."""
+"""The authenticated identity of a caller."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Permit(Record):
-    """The workspace that a caller's key belongs to.
+    """The workspace that a caller's API key belongs to.
 
     Attributes
     ----------
     workspace : Workspace or None
-        None on a public route, for a call whose key is not known.
+        None for a call with an unknown key on a public route.
     digest : bytes
-        What the key is looked up by; the key itself is not kept.
+        Hash of the key, used for lookups; the key itself is not stored.
     """
 
     workspace: Workspace | None = None
--- a/src/cedarchute/calls/plain_call.py
+++ b/src/cedarchute/calls/plain_call.py
@@ -1,11 +1,11 @@
-"""A call whose answer is passed on once it is whole."""
+"""Handles calls whose response is buffered and then sent as a whole."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from cedarchute.calls.attempts import Attempts
-from cedarchute.calls.target_exchange import SERVER_ERROR
+from cedarchute.calls.target_exchange import MIN_SERVER_ERROR
 from cedarchute.relay.target_failure import TargetFailureError
 from cedarchute.routing.route import Repeatability
 
@@ -19,10 +19,10 @@
 
 
 class PlainCall:
-    """Relays calls of plain services: no hop and no record.
+    """Relays calls to plain services without another box and without stored state.
 
-    The box that holds the caller's connection sees alone to it that a call which
-    may not be repeated is sent at most once.
+    The box that holds the caller's connection alone guarantees that a call which is
+    not repeatable is sent at most once.
     """
 
     def __init__(self, exchange: TargetExchange, metrics: Metrics) -> None:
@@ -32,7 +32,7 @@
     def run(
         self, request: CallerRequest, writer: ReplyWriter, call: Call, route: Route
     ) -> None:
-        """Answer one call; raise `CallRefusedError` when it is given up."""
+        """Relay one call; raise `CallRefusedError` if no target answers it."""
         service = self.exchange.choice.choose_service(route)
         attempts = Attempts(
             self.exchange, self.metrics, request, call, route, service, request.body
@@ -43,7 +43,7 @@
             if body is None:
                 continue
             answer = opened.answer
-            if answer.status >= SERVER_ERROR and self.may_repeat(attempts):
+            if answer.status >= MIN_SERVER_ERROR and self.may_repeat(attempts):
                 self.metrics.count_retry("target_error")
                 continue
             headers = answer.headers.select_end_to_end()
@@ -51,15 +51,15 @@
             return
 
     def read_body(self, attempts: Attempts, opened: OpenAnswer) -> bytes | None:
-        """Return the whole body, or None when another target is to be tried."""
+        """Return the full body, or None if the call should be retried elsewhere."""
         finished = False
         try:
-            body = self.exchange.read_rest(opened)
+            body = self.exchange.read_full_body(opened)
             self.exchange.finish(opened)
             finished = True
         except TargetFailureError as error:
-            self.exchange.note_failure(opened.target, attempts.call, error)
-            attempts.check_repeatable(error.reason)
+            self.exchange.handle_failure(opened.target, attempts.call, error)
+            attempts.ensure_repeatable(error.reason)
             return None
         finally:
             if not finished:
@@ -67,11 +67,11 @@
         return body
 
     def may_repeat(self, attempts: Attempts) -> bool:
-        """Tell whether a target's own failure is tried once more elsewhere."""
+        """Return whether to retry at another target after a server error."""
         route = attempts.route
         if route.repeatability is not Repeatability.REPEATABLE:
             return False
-        if attempts.runs >= route.max_targets:
+        if attempts.possible_runs >= route.max_targets:
             return False
         choice = self.exchange.choice
         return choice.choose(attempts.service, attempts.tried) is not None
--- a/src/cedarchute/calls/program_gate.py
+++ b/src/cedarchute/calls/program_gate.py
@@ -1,4 +1,4 @@
-"""Asks, before a call is booked, whether its program is let in."""
+"""Admission control for new programs."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 log = logging.getLogger("cedarchute.calls")
 
-# Programs that this box knows to have begun: about what it meets in a minute.
-MOST_KNOWN: Final = 4096
+# Admitted programs that this box remembers; the oldest are dropped first.
+MAX_ADMITTED_PROGRAMS: Final = 4096
 
 
 class ProgramGate:
-    """Keeps what decides on new programs, by service; programs under way pass."""
+    """Admits or rejects new programs under load; running programs always pass."""
 
     def __init__(
         self,
@@ -46,77 +46,81 @@
         self.quorum = quorum
         self.routes = routes
         self.metrics = metrics
-        self.meters: defaultdict[str, PaceMeter] = defaultdict(PaceMeter)
-        self.uses: defaultdict[str, AimUse] = defaultdict(AimUse)
-        self.known: OrderedDict[str, None] = OrderedDict()
+        self.pace_meters: defaultdict[str, PaceMeter] = defaultdict(PaceMeter)
+        self.deadline_uses: defaultdict[str, AimUse] = defaultdict(AimUse)
+        self.admitted_programs: OrderedDict[str, None] = OrderedDict()
 
     def check(self, call: Call, route: Route, service: str) -> None:
-        """Let a call pass.
+        """Return if the call is admitted.
 
         Raises
         ------
         CallRefusedError
-            When it would begin a program that is not let in; nothing ran.
+            When the call would start a program that is rejected; nothing ran.
         """
-        terms = call.program
+        context = call.program
         program = call.program_key
-        if terms.previous or program in self.known:
+        if context.previous or program in self.admitted_programs:
             return
-        slowdown = self.meters[service].measure_slowdown(time.monotonic())
-        waited = 0.0
+        slowdown = self.pace_meters[service].measure_slowdown(time.monotonic())
+        program_age = 0.0
         if slowdown >= STRAINED_SLOWDOWN and program:
             standing = self.read_standing(program)
             if standing is None or standing.spent:
-                self.note_known(program)
+                self.remember_admitted(program)
                 return
-            waited = standing.age_seconds or 0.0
+            program_age = standing.age_seconds or 0.0
         inputs = AdmissionInputs(
             slowdown=slowdown,
-            usual_use=self.uses[route.name].share,
-            ranks_behind=self.count_ranks_behind(call, route),
+            usual_use=self.deadline_uses[route.name].share,
+            ranks_behind=self.count_lower_ranks(call, route),
             standing=find_standing(program or call.id),
-            aim_seconds=terms.aim_seconds,
-            waited_seconds=waited,
+            aim_seconds=context.aim_seconds,
+            waited_seconds=program_age,
         )
         decision = decide_admission(inputs)
-        log_decision(terms.program, service, inputs, decision)
+        log_decision(context.program, service, inputs, decision)
         if decision.admitted:
-            self.note_known(program)
+            self.remember_admitted(program)
             return
         self.metrics.count_refusal("overload")
         raise CallRefusedError(503, "overload", decision.retry_after_seconds)
 
     def read_standing(self, program: str) -> ProgramStanding | None:
-        """Return what holders know of a program, or None when they don't answer."""
+        """Return the usage of a program, or None if its holders do not answer."""
         try:
             return self.quorum.read_standing(program)
         except NoQuorumError as error:
-            # Booking the call asks the same holders, and says so if they are away.
-            log.info("Holders don't tell of a program.", extra={"why": str(error)})
+            # Reserving the call's tokens asks the same holders and raises if they are
+            # unreachable.
+            log.info(
+                "Holders did not report the usage of a program.",
+                extra={"why": str(error)},
+            )
             return None
 
-    def note_end(
+    def record_turn_end(
         self, route: Route, service: str, used_seconds: float, left_seconds: float
     ) -> None:
-        """Take in the end of a turn, and how much of its program's time it left."""
+        """Record how much of its program's time a finished turn used and left."""
         now = time.monotonic()
-        slowdown = self.meters[service].measure_slowdown(now)
-        use = self.uses[route.name]
+        slowdown = self.pace_meters[service].measure_slowdown(now)
+        use = self.deadline_uses[route.name]
         use.record_turn(now, slowdown, used_seconds, left_seconds)
 
     def forget_target(self, target: str) -> None:
-        """Forget the pace of a target that is gone."""
-        for meter in self.meters.values():
+        """Drop the pace statistics of a removed target."""
+        for meter in self.pace_meters.values():
             meter.forget(target)
 
-    def count_ranks_behind(self, call: Call, route: Route) -> int:
-        """Return how many ranks of streams are less important than this call's.
+    def count_lower_ranks(self, call: Call, route: Route) -> int:
+        """Return the number of stream ranks that are less important than the call's.
 
-        A workspace's rank goes before that of a route.
+        Ranks compare by workspace first, then by route.
         """
         table = self.routes.table
         routes = table.routes if table else ()
-        route_ranks = {r.rank for r in routes if r.is_stream}
+        route_ranks = {entry.rank for entry in routes if entry.is_stream}
         permit = call.permit
         if permit is None or permit.workspace is None or table.keys is None:
             return len([rank for rank in route_ranks if rank > route.rank])
@@ -124,21 +128,21 @@
         workspaces = table.keys.ranks
         return len([1 for pair in product(workspaces, route_ranks) if pair > own])
 
-    def note_known(self, program: str) -> None:
-        """Remember a program that was let in."""
+    def remember_admitted(self, program: str) -> None:
+        """Remember an admitted program."""
         if not program:
             return
-        self.known[program] = None
-        if len(self.known) > MOST_KNOWN:
-            self.known.popitem(last=False)
+        self.admitted_programs[program] = None
+        if len(self.admitted_programs) > MAX_ADMITTED_PROGRAMS:
+            self.admitted_programs.popitem(last=False)
 
 
 def log_decision(
     program: str, service: str, inputs: AdmissionInputs, decision: AdmissionDecision
 ) -> None:
-    """Log whether a program is let in, and from what that was decided."""
+    """Log an admission decision and its inputs."""
     log.info(
-        "Program let in." if decision.admitted else "Program not let in.",
+        "Program admitted." if decision.admitted else "Program rejected.",
         extra={
             "program": program,
             "service": service,
--- a/src/cedarchute/calls/quota_check.py
+++ b/src/cedarchute/calls/quota_check.py
@@ -1,4 +1,4 @@
-"""Refuses the calls of a workspace beyond its limit."""
+"""Rejects or delays the calls of a workspace beyond its rate limit."""
 
 from __future__ import annotations
 
@@ -18,52 +18,52 @@
 
 log = logging.getLogger("cedarchute.calls")
 
-# Keepers that are cut off or frozen are asked last from now on, or replaced.
+# Retry delay when no keeper answered; by then silent keepers are asked last.
 NO_KEEPER_RETRY_SECONDS: Final = 0.3
-# Counters of refusals by workspace; those beyond share one.
-MOST_COUNTED: Final = 128
-# Of the time that a caller waits, what may go before its call is sent.
-PATIENCE_SHARE: Final = 0.25
-# Whoever comes back at the very moment meets the others who do.
-LEAST_RETRY_SECONDS: Final = 0.1
+# Workspaces with a rejection counter of their own; the others share one.
+MAX_COUNTED_WORKSPACES: Final = 128
+# Share of the caller's timeout that a call may wait for its rate limit.
+MAX_WAIT_TIMEOUT_SHARE: Final = 0.25
+# Minimum retry delay.
+MIN_RETRY_SECONDS: Final = 0.1
 
 
-def find_patience(call: Call) -> float:
-    """Return how long a call may wait for its workspace's limit."""
+def compute_max_wait(call: Call) -> float:
+    """Return how many seconds a call may wait for its workspace's rate limit."""
     if call.patience_seconds is None:
         return MOST_WAIT_SECONDS
-    return min(MOST_WAIT_SECONDS, PATIENCE_SHARE * call.patience_seconds)
+    return min(MOST_WAIT_SECONDS, MAX_WAIT_TIMEOUT_SHARE * call.patience_seconds)
 
 
 class QuotaCheck:
-    """Asks for each call of a workspace with a limit; the others cost nothing."""
+    """Enforces rate limits; calls of workspaces without one pass at no cost."""
 
     def __init__(self, client: QuotaClient, metrics: Metrics) -> None:
         self.client = client
         self.metrics = metrics
-        self.counted: set[str] = set()
+        self.counted_workspaces: set[str] = set()
 
     def check(self, call: Call, version: int) -> None:
-        """Let a call pass.
+        """Return once the call is within its workspace's limit.
 
         Parameters
         ----------
         version : int
-            The version of the configuration that the call's permit is from.
+            The version of the configuration that the limit is from.
 
         Raises
         ------
         CallRefusedError
-            429 beyond the limit, 503 when that can't be told; nothing ran.
+            429 beyond the limit, 503 if no keeper answers; nothing ran.
         """
         workspace = call.permit.workspace if call.permit else None
         if workspace is None or not workspace.is_limited:
             return
         limit = QuotaLimit(version, workspace.calls_per_second, workspace.burst)
         begins = call.begins_program
-        patience = find_patience(call)
+        max_wait = compute_max_wait(call)
         try:
-            grant = self.client.ask(workspace.name, limit, begins, patience)
+            grant = self.client.ask(workspace.name, limit, begins, max_wait)
         except NoKeeperError as error:
             self.metrics.count_refusal("no_quota_keeper")
             facts = {"workspace": workspace.name}
@@ -74,7 +74,7 @@
             return
         self.metrics.count_refusal("quota")
         self.count_by_workspace(workspace.name)
-        wait = max(LEAST_RETRY_SECONDS, grant.wait_seconds)
+        wait = max(MIN_RETRY_SECONDS, grant.wait_seconds)
         facts = {
             "workspace": workspace.name,
             "calls_per_second": workspace.calls_per_second,
@@ -86,19 +86,19 @@
         raise CallRefusedError(429, "beyond the workspace's limit", wait, facts)
 
     def wait(self, seconds: float, workspace: str) -> None:
-        """Wait until the call may pass."""
+        """Sleep for `seconds` and record the delay."""
         if seconds <= 0:
             return
         self.metrics.time("quota.wait", seconds)
         log.info(
-            "Call waits for its workspace's limit.",
+            "Call delayed by the rate limit of its workspace.",
             extra={"workspace": workspace, "ms": round(seconds * 1000, 1)},
         )
         eventlet.sleep(seconds)
 
     def count_by_workspace(self, name: str) -> None:
-        """Count a refusal under its workspace, up to a number of them."""
-        if len(self.counted) < MOST_COUNTED:
-            self.counted.add(name)
-        told = name if name in self.counted else "others"
-        self.metrics.count(f"quota.refused.{told}")
+        """Count a rejection by workspace, or as "others" beyond the maximum."""
+        if len(self.counted_workspaces) < MAX_COUNTED_WORKSPACES:
+            self.counted_workspaces.add(name)
+        label = name if name in self.counted_workspaces else "others"
+        self.metrics.count(f"quota.refused.{label}")
--- a/src/cedarchute/calls/target_exchange.py
+++ b/src/cedarchute/calls/target_exchange.py
@@ -1,4 +1,4 @@
-"""Sends a call to one target and reads the head of its answer."""
+"""Sends calls to targets and reads their responses."""
 
 from __future__ import annotations
 
@@ -30,30 +30,38 @@
 log = logging.getLogger("cedarchute.calls")
 
 METHODS_WITHOUT_BODY = frozenset((b"GET", b"HEAD", b"DELETE", b"OPTIONS", b"TRACE"))
-# From here on a status says that the target itself failed, but for one.
-SERVER_ERROR = 500
-TIMED_OUT = 504
-# Its address was handed on, or its entry names an address that was never its own.
-ANOTHER_TARGET = 421
-# A target that is full has room again once one of its requests ends.
-FULL_PAUSE_SECONDS = 0.05
-# A caller that left after its target said nothing for this long left because of that:
-# callers of streams wait at least two seconds for an event.
-SILENT_SECONDS = 1.5
+# Lowest status that reports a failure of the target.
+MIN_SERVER_ERROR = 500
+GATEWAY_TIMEOUT = 504
+# Another target listens at the address: it was reassigned, or the entry is wrong.
+MISDIRECTED_REQUEST = 421
+# How long a target that rejected a call for lack of capacity gets no calls.
+FULL_TARGET_PAUSE_SECONDS = 0.05
+# If a caller disconnects after its target was silent for this long, the target counts
+# as failed: callers of streams wait at least two seconds for an event.
+SILENT_TARGET_SECONDS = 1.5
 
 
 class OpenAnswer(MutableRecord):
-    """An answer whose head is read, on the connection that brings the rest."""
+    """A response whose headers are read, and the connection to read its body from.
+
+    Attributes
+    ----------
+    sent_at : float
+        Monotonic time at which the attempt began.
+    read_deadline : float
+        Monotonic time until which the target may stay silent.
+    """
 
     target: TargetEntry
     connection: TargetConnection
     answer: TargetAnswer
     sent_at: float
-    silent_until: float
+    read_deadline: float
 
 
 class TargetExchange:
-    """What every call needs of targets; keeps the books on each of them."""
+    """Sends calls to targets and tracks the load and failures of each."""
 
     def __init__(
         self,
@@ -73,44 +81,44 @@
         call: Call,
         target: TargetEntry,
         body: bytes,
-        until: float,
-        silent_until: float,
+        deadline: float,
+        read_deadline: float,
     ) -> OpenAnswer:
-        """Send a call to `target` and wait for the head of its answer.
+        """Send a call to `target` and wait for the headers of its response.
 
         Parameters
         ----------
-        until : float
-            When the call is over; the target is told.
-        silent_until : float
-            How long the target may be silent; another is tried then.
+        deadline : float
+            Monotonic time at which the call ends; the target gets the time left.
+        read_deadline : float
+            Monotonic time until which the target may stay silent.
 
         Raises
         ------
         TargetFailureError
-            With the verdict that the failure allows.
+            When the target fails; the verdict tells whether the call may have run.
         CallRefusedError
-            When its key lets nothing pass any more; this target has not run it.
+            When the caller's key is no longer valid; this target has not run the call.
         """
         load = self.choice.loads[target.start]
         load.active += 1
         sent_at = time.monotonic()
         connection = None
         try:
-            connection = self.pool.take(target.address, until - sent_at)
-            seconds_left = until - time.monotonic()
+            connection = self.pool.take(target.address, deadline - sent_at)
+            seconds_left = deadline - time.monotonic()
             head = build_request(request, target, body, seconds_left, call.permit)
-            self.keys.confirm(call)
-            connection.send(head + body, until - time.monotonic())
+            self.keys.revalidate(call)
+            connection.send(head + body, deadline - time.monotonic())
             call_id = call.id.encode("latin-1")
-            answer = connection.read_answer(call_id, ANSWER_ID, silent_until)
+            answer = connection.read_answer(call_id, ANSWER_ID, read_deadline)
             if says_not_run(answer):
                 refused, connection = connection, None
-                self.finish_refusal(refused, answer, until)
-                if answer.status == ANOTHER_TARGET:
+                self.drain_refusal(refused, answer, deadline)
+                if answer.status == MISDIRECTED_REQUEST:
                     reason = "another target answers at its address"
                     raise TargetFailureError(reason, Verdict.NOT_RUN)
-                load.record_full(FULL_PAUSE_SECONDS)
+                load.record_full(FULL_TARGET_PAUSE_SECONDS)
                 reason = f"refused with {answer.status}"
                 raise TargetFailureError(reason, Verdict.NOT_RUN)
         except BaseException as error:
@@ -118,28 +126,28 @@
             if connection is not None:
                 connection.close()
             if isinstance(error, TargetFailureError):
-                self.note_failure(target, call, error)
-            elif time.monotonic() - sent_at > SILENT_SECONDS:
+                self.handle_failure(target, call, error)
+            elif time.monotonic() - sent_at > SILENT_TARGET_SECONDS:
                 load.record_failure()
             raise
-        return OpenAnswer(target, connection, answer, sent_at, silent_until)
+        return OpenAnswer(target, connection, answer, sent_at, read_deadline)
 
-    def finish_refusal(
-        self, connection: TargetConnection, answer: TargetAnswer, until: float
+    def drain_refusal(
+        self, connection: TargetConnection, answer: TargetAnswer, deadline: float
     ) -> None:
-        """Read a refusal to its end, so that its connection can be kept."""
+        """Read the rest of a rejection so that its connection can be reused."""
         try:
             while not answer.is_complete:
-                connection.receive(until - time.monotonic())
+                connection.receive(deadline - time.monotonic())
             connection.finish(answer)
             self.pool.give_back(connection)
         except TargetFailureError:
             connection.close()
 
-    def note_failure(
+    def handle_failure(
         self, target: TargetEntry, call: Call, error: TargetFailureError
     ) -> None:
-        """Count a failure, and leave a target alone that does not answer."""
+        """Count a failure; pause the target unless it rejected the call."""
         self.metrics.count("targets.failures")
         if not error.reason.startswith("refused"):
             self.choice.loads[target.start].record_failure()
@@ -152,21 +160,21 @@
             },
         )
 
-    def read_rest(self, opened: OpenAnswer) -> bytes:
-        """Return the whole body of an answer."""
+    def read_full_body(self, opened: OpenAnswer) -> bytes:
+        """Return the full body of a response."""
         answer = opened.answer
         parts = [answer.take_parts()]
         while not answer.is_complete:
-            opened.connection.receive(opened.silent_until - time.monotonic())
+            opened.connection.receive(opened.read_deadline - time.monotonic())
             parts.append(answer.take_parts())
         return b"".join(parts)
 
     def finish(self, opened: OpenAnswer) -> None:
-        """Keep the connection of an answer that was read whole."""
+        """Record a complete response and return its connection to the pool."""
         seconds = time.monotonic() - opened.sent_at
         load = self.choice.loads[opened.target.start]
         load.active -= 1
-        if is_own_fault(opened.answer.status):
+        if is_target_error(opened.answer.status):
             self.metrics.count("targets.errors")
             load.record_failure()
         else:
@@ -176,18 +184,18 @@
         self.pool.give_back(opened.connection)
 
     def abandon(self, opened: OpenAnswer) -> None:
-        """Close the connection of an answer that nobody waits for."""
+        """Close the connection of a response that is not read to its end."""
         self.choice.loads[opened.target.start].active -= 1
         opened.connection.close()
 
 
-def is_own_fault(status: int) -> bool:
-    """Return whether a target answered that it failed.
+def is_target_error(status: int) -> bool:
+    """Return whether a status reports a failure of the target.
 
-    Such answers come fast: taken for answers like others, a target that fails every
-    call would look like the best one. A timeout says that the call took long.
+    Such responses are often fast and would make a failing target look like the best
+    one. 504 is excluded: the call took too long, so its latency counts.
     """
-    return status >= SERVER_ERROR and status != TIMED_OUT
+    return status >= MIN_SERVER_ERROR and status != GATEWAY_TIMEOUT
 
 
 def build_request(
@@ -197,7 +205,7 @@
     seconds_left: float,
     permit: Permit | None,
 ) -> bytes:
-    """Return the head of a request to a target."""
+    """Return the request line and headers of a request to a target."""
     headers = write_target_headers(request, target, seconds_left, permit)
     line = b"%s %s HTTP/1.1\r\n" % (request.method, request.target)
     if body or request.method not in METHODS_WITHOUT_BODY:
--- a/src/cedarchute/calls/turn_call.py
+++ b/src/cedarchute/calls/turn_call.py
@@ -1,4 +1,4 @@
-"""A call whose answer is a stream of events: a turn of a program, or a call alone."""
+"""Handles calls whose response is an event stream: program turns and single calls."""
 
 from __future__ import annotations
 
@@ -35,11 +35,10 @@
 
 
 class TurnCall:
-    """Relays streams: turns are kept, and budgets hold on whatever route.
+    """Relays streams, stores turns and enforces token budgets.
 
-    A call that names a budget is booked at the holders of its program also where
-    turns are not kept: a program that loops without end would exceed it there. They
-    write down its tokens, and no text.
+    A call with a budget is accounted for at the holders of its program even on routes
+    that store no turns; the holders then record its token count but no text.
     """
 
     def __init__(
@@ -59,41 +58,43 @@
     def run(
         self, request: CallerRequest, writer: ReplyWriter, call: Call, route: Route
     ) -> None:
-        """Answer one call; raise `CallRefusedError` when it is given up."""
+        """Relay one call; raise `CallRefusedError` if it is rejected or fails."""
         service = self.exchange.choice.choose_service(route)
         self.gate.check(call, route, service)
-        is_booked = route.keeps_turns or call.program.budget is not None
-        admission = self.admit(call) if is_booked else TurnAdmission(b"", "")
+        is_accounted = route.keeps_turns or call.program.budget is not None
+        admission = self.admit(call) if is_accounted else TurnAdmission(b"", "")
         relay = TurnRelay(self, request, writer, call, route, service, admission)
         try:
             relay.run()
-            self.note_end(relay, admission)
+            self.record_turn_end(relay, admission)
         finally:
-            if is_booked and not relay.kept:
+            if is_accounted and not relay.is_stored:
                 self.quorum.settle(call.program_key, call.id, relay.tokens)
 
-    def note_end(self, relay: TurnRelay, admission: TurnAdmission) -> None:
-        """Let the gate learn how much of its program's time a whole turn used."""
+    def record_turn_end(self, relay: TurnRelay, admission: TurnAdmission) -> None:
+        """Report to admission control how much of the program's time was used."""
         call = relay.call
         age = admission.age_seconds
         if age is None or call.program.aim_seconds is None or not relay.tokens:
             return
-        took = time.monotonic() - relay.request.read_at
-        left = max(0.0, call.program.aim_seconds - took)
-        self.gate.note_end(relay.route, relay.service, age + took, left)
+        elapsed = time.monotonic() - relay.request.read_at
+        seconds_left = max(0.0, call.program.aim_seconds - elapsed)
+        self.gate.record_turn_end(
+            relay.route, relay.service, age + elapsed, seconds_left
+        )
 
     def admit(self, call: Call) -> TurnAdmission:
-        """Reserve the turn's tokens and read what it goes on from."""
-        terms = call.program
-        if not terms.program:
+        """Reserve the turn's tokens and read the turns that it continues."""
+        context = call.program
+        if not context.program:
             raise CallRefusedError(400, "a turn or a budget names its program")
         try:
             admission = self.quorum.begin(
                 call.program_key,
                 call.id,
-                terms.most_tokens,
-                terms.previous,
-                terms.budget,
+                context.most_tokens,
+                context.previous,
+                context.budget,
             )
         except NoQuorumError as error:
             self.metrics.count_refusal("no_quorum")
@@ -107,38 +108,38 @@
         log.info(
             "Turn admitted.",
             extra={
-                "program": terms.program,
-                "previous": terms.previous,
+                "program": context.program,
+                "previous": context.previous,
                 "bytes_before": len(admission.text),
                 "ran_before_at": admission.target,
-                "reserved": terms.most_tokens,
-                "budget": terms.budget,
+                "reserved": context.most_tokens,
+                "budget": context.budget,
                 "seats_version": self.quorum.seats.table.version,
             },
         )
         return admission
 
-    def event_tokens(self, service: str) -> int:
-        """Return how many tokens one event of a service carries."""
+    def find_event_tokens(self, service: str) -> int:
+        """Return the number of tokens in one event of a service."""
         table = self.routes.table
         found = table.services.get(service) if table else None
         return found.engine.event_tokens if found and found.engine else 1
 
 
 class TurnRelay:
-    """One turn on its way from a target to its caller.
+    """Relays the events of one call from a target to its caller.
 
     Attributes
     ----------
     tokens : int
-        Tokens handed to the caller so far.
-    kept : bool
-        Whether the turn stands on a quorum, with its tokens.
+        Number of tokens sent to the caller so far.
+    is_stored : bool
+        Whether a quorum of holders has stored the turn and its token count.
     """
 
     def __init__(
         self,
-        desk: TurnCall,
+        handler: TurnCall,
         request: CallerRequest,
         writer: ReplyWriter,
         call: Call,
@@ -146,20 +147,20 @@
         service: str,
         admission: TurnAdmission,
     ) -> None:
-        self.desk = desk
+        self.handler = handler
         self.request = request
         self.writer = writer
         self.call = call
         self.route = route
         self.service = service
-        self.meter = desk.gate.meters[service]
+        self.meter = handler.gate.pace_meters[service]
         self.tokens = 0
-        self.kept = False
+        self.is_stored = False
         self.output: list[bytes] = []
         body = admission.text + request.body
         self.attempts = Attempts(
-            desk.exchange,
-            desk.metrics,
+            handler.exchange,
+            handler.metrics,
             request,
             call,
             route,
@@ -170,64 +171,66 @@
         )
 
     def run(self) -> None:
-        """Relay the turn to its end."""
+        """Relay the response until it is complete."""
         opened = self.attempts.open()
         finished = False
         try:
             if opened.answer.status == OK:
                 self.relay_events(opened)
             else:
-                self.relay_failure(opened)
-            self.desk.exchange.finish(opened)
+                self.relay_error_response(opened)
+            self.handler.exchange.finish(opened)
             finished = True
         except TargetFailureError as error:
-            self.note_broken(opened, error)
+            self.handle_broken_stream(opened, error)
         finally:
             if not finished:
-                self.desk.exchange.abandon(opened)
+                self.handler.exchange.abandon(opened)
         if opened.answer.status == OK:
-            self.end(opened)
+            self.complete(opened)
 
-    def relay_failure(self, opened: OpenAnswer) -> None:
-        """Pass a target's own failure on."""
-        body = self.desk.exchange.read_rest(opened)
+    def relay_error_response(self, opened: OpenAnswer) -> None:
+        """Relay a response of the target whose status is not 200."""
+        body = self.handler.exchange.read_full_body(opened)
         headers = opened.answer.headers.select_end_to_end()
         self.writer.write_whole(opened.answer.status, headers, body)
 
     def relay_events(self, opened: OpenAnswer) -> None:
-        """Pass events on as they come, until the target's answer is whole."""
+        """Forward events as they arrive until the target's response is complete."""
         splitter = EventSplitter()
         answer = opened.answer
-        event_tokens = self.desk.event_tokens(self.service)
-        last_at = None
+        event_tokens = self.handler.find_event_tokens(self.service)
+        last_event_at = None
         while True:
             events = splitter.feed(answer.take_parts())
             if events:
-                last_at = self.record_pace(opened, last_at, len(events))
+                last_event_at = self.record_pace(opened, last_event_at, len(events))
             for event in events:
-                self.pass_on(opened, event, event_tokens)
+                self.forward_event(opened, event, event_tokens)
             if answer.is_complete:
                 break
-            opened.connection.receive(self.attempts.until - time.monotonic())
+            opened.connection.receive(self.attempts.deadline - time.monotonic())
         if splitter.rest.strip():
             raise TargetFailureError("ended within an event", Verdict.MAY_HAVE_RUN)
 
     def record_pace(
-        self, opened: OpenAnswer, last_at: float | None, events: int
+        self, opened: OpenAnswer, last_event_at: float | None, events: int
     ) -> float:
-        """Take in how long these events took; return when they came."""
+        """Record the latency of these events; return their arrival time."""
         target = opened.target.start
         now = time.monotonic()
-        if last_at is not None:
-            self.meter.record_pauses(target, now, now - last_at, events)
+        if last_event_at is not None:
+            self.meter.record_pauses(target, now, now - last_event_at, events)
             return now
         self.meter.record_first(target, now, now - opened.sent_at)
         if events > 1:
             self.meter.record_pauses(target, now, 0.0, events - 1)
         return now
 
-    def pass_on(self, opened: OpenAnswer, event: bytes, event_tokens: int) -> None:
-        """Pass one event on."""
+    def forward_event(
+        self, opened: OpenAnswer, event: bytes, event_tokens: int
+    ) -> None:
+        """Send one event to the caller, after the headers if it is the first."""
         if not self.writer.started:
             headers = opened.answer.headers.select_end_to_end()
             self.writer.start_stream(opened.answer.status, headers)
@@ -237,33 +240,36 @@
             self.output.append(data + b"\n")
         self.writer.write_part(event)
 
-    def note_broken(self, opened: OpenAnswer, error: TargetFailureError) -> None:
-        """Give up a turn whose stream broke; it ran, so it is not tried again."""
-        self.desk.exchange.note_failure(opened.target, self.call, error)
+    def handle_broken_stream(
+        self, opened: OpenAnswer, error: TargetFailureError
+    ) -> None:
+        """Raise for a stream that broke; the call has run, so it is not retried."""
+        self.handler.exchange.handle_failure(opened.target, self.call, error)
         if self.writer.started:
-            self.desk.metrics.count("turns.broken")
+            self.handler.metrics.count("turns.broken")
             raise CallRefusedError(502, error.reason)
-        raise self.attempts.give_up(error.reason)
+        raise self.attempts.make_final_error(error.reason)
 
-    def end(self, opened: OpenAnswer) -> None:
-        """Keep the turn, then tell the caller that it is whole.
+    def complete(self, opened: OpenAnswer) -> None:
+        """Store the turn, then end the caller's stream.
 
-        Until a quorum holds it, the next turn could not go on from it.
+        The order matters: the caller's next turn can only continue a turn that a
+        quorum has stored.
         """
         if not self.writer.started:
             headers = opened.answer.headers.select_end_to_end()
             self.writer.start_stream(opened.answer.status, headers)
         if self.route.keeps_turns:
-            self.keep(opened)
+            self.store_turn(opened)
         self.writer.end_stream()
 
-    def keep(self, opened: OpenAnswer) -> None:
-        """Write the turn down at a quorum."""
-        terms = self.call.program
+    def store_turn(self, opened: OpenAnswer) -> None:
+        """Store the turn at a quorum of holders."""
+        context = self.call.program
         turn = Turn(
             program=self.call.program_key,
             turn=self.call.id,
-            previous=terms.previous,
+            previous=context.previous,
             input=self.request.body,
             output=b"".join(self.output),
             tokens=self.tokens,
@@ -271,8 +277,10 @@
             keep_seconds=self.route.keep_seconds,
         )
         try:
-            self.desk.quorum.take(turn)
+            self.handler.quorum.take(turn)
         except NoQuorumError as error:
             raise CallRefusedError(503, str(error)) from None
-        self.kept = True
-        log.info("Turn kept.", extra={"program": terms.program, "tokens": self.tokens})
+        self.is_stored = True
+        log.info(
+            "Turn stored.", extra={"program": context.program, "tokens": self.tokens}
+        )
--- a/tests/calls/test_key_check.py
+++ b/tests/calls/test_key_check.py
@@ -1,4 +1,4 @@
-"""Whose a call is, and until when its key lets it pass."""
+"""Authentication of calls and revalidation of their keys before a send."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cedarchute.calls.call_errors import CallRefusedError
 from cedarchute.calls.key_check import (
     RETRY_AFTER_SECONDS,
-    STORE_AWAY_RETRY_SECONDS,
+    STORE_UNAVAILABLE_RETRY_SECONDS,
     KeyCheck,
 )
 from cedarchute.calls.target_exchange import TargetExchange
@@ -36,16 +36,16 @@
 
 
 class Proof:
-    """A proof of any age; `fresh_age` is what looking for a newer one brings."""
+    """A freshness proof of a given age; `refresh` sets it to `fresh_age`."""
 
     def __init__(self, age_seconds=0.0, fresh_age=None, is_store_away=False):
         self.age_seconds = age_seconds
         self.fresh_age = fresh_age
         self.is_store_away = is_store_away
-        self.looks = 0
+        self.refresh_count = 0
 
     def refresh(self, seconds):
-        self.looks += 1
+        self.refresh_count += 1
         if self.fresh_age is not None:
             self.age_seconds = self.fresh_age
 
@@ -72,9 +72,9 @@
     return Call("c", patience, ProgramTerms("", None, "", 0))
 
 
-def identify(check, key="key-a", patience=4.0):
+def authenticate(check, key="key-a", patience=4.0):
     call = make_call(patience)
-    permit = check.identify(make_request(key), call, ROUTE, check.routes.table)
+    permit = check.authenticate(make_request(key), call, ROUTE, check.routes.table)
     return Call(call.id, call.patience_seconds, call.program, permit)
 
 
@@ -86,23 +86,23 @@
 
 def test_a_call_finds_the_workspace_of_its_key():
     check = make_check(Proof())
-    assert identify(check).workspace == "a"
-    assert identify(check, "key-b").workspace == "b"
-    assert read_refusal(lambda: identify(check, "other")).status == 401
+    assert authenticate(check).workspace == "a"
+    assert authenticate(check, "key-b").workspace == "b"
+    assert read_refusal(lambda: authenticate(check, "other")).status == 401
 
 
 def test_a_call_waits_for_a_proof_that_comes_at_once():
     proof = Proof(age_seconds=9.0, fresh_age=0.0)
-    assert identify(make_check(proof)).workspace == "a"
-    assert proof.looks == 1
+    assert authenticate(make_check(proof)).workspace == "a"
+    assert proof.refresh_count == 1
 
 
 @pytest.mark.parametrize(
     ("is_store_away", "patience", "retry_after"),
     [
         (False, 4.0, RETRY_AFTER_SECONDS),
-        (True, 20.0, STORE_AWAY_RETRY_SECONDS),
-        (True, None, STORE_AWAY_RETRY_SECONDS),
+        (True, 20.0, STORE_UNAVAILABLE_RETRY_SECONDS),
+        (True, None, STORE_UNAVAILABLE_RETRY_SECONDS),
         (True, 2.0, 0.6),
     ],
 )
@@ -110,7 +110,7 @@
     is_store_away, patience, retry_after
 ):
     check = make_check(Proof(age_seconds=9.0, is_store_away=is_store_away))
-    refusal = read_refusal(lambda: identify(check, patience=patience))
+    refusal = read_refusal(lambda: authenticate(check, patience=patience))
     assert refusal.status == 503
     assert refusal.retry_after_seconds == pytest.approx(retry_after)
     assert refusal.facts["proof_age"] == 9.0
@@ -121,13 +121,13 @@
     check = make_check(
         Proof(age_seconds=9.0), RouteTable(1, (ROUTE,), {}, InputLimits())
     )
-    assert identify(check).permit is None
-    assert not check.needs_proof
+    assert authenticate(check).permit is None
+    assert not check.requires_fresh_configuration
     assert not check.lacks_proof
 
 
 class WaitingPool:
-    """A pool whose connection comes late: `meanwhile` happens before."""
+    """A pool that calls `meanwhile` before it returns a connection."""
 
     def __init__(self, meanwhile):
         self.meanwhile = meanwhile
@@ -146,16 +146,16 @@
 
 
 def send(check, meanwhile):
-    """Send an identified call; return what it met, and what went to the target."""
-    call = identify(check)
+    """Send an authenticated call; return its error and the data sent."""
+    call = authenticate(check)
     registry = TargetRegistry(lambda entry: None)
     target = TargetEntry("t", "s", Address("10.0.0.1", 1), "a", True, 8)
     choice = TargetChoice(registry, "a", random.Random(7), lambda address: True)
     pool = WaitingPool(meanwhile)
     exchange = TargetExchange(pool, choice, check, Metrics())
-    until = time.monotonic() + 4.0
+    deadline = time.monotonic() + 4.0
     with pytest.raises((CallRefusedError, TargetFailureError)) as caught:
-        exchange.open(make_request(), call, target, b"", until, until)
+        exchange.open(make_request(), call, target, b"", deadline, deadline)
     return caught.value, pool.sent
 
 
--- a/tests/calls/test_quota_check.py
+++ b/tests/calls/test_quota_check.py
@@ -1,4 +1,4 @@
-"""Calls of a workspace with a limit: passed, waiting, refused."""
+"""Calls of a rate-limited workspace: passed, delayed, rejected."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cedarchute.calls.call import Call, ProgramTerms
 from cedarchute.calls.call_errors import CallRefusedError
 from cedarchute.calls.permit import Permit
-from cedarchute.calls.quota_check import QuotaCheck, find_patience
+from cedarchute.calls.quota_check import QuotaCheck, compute_max_wait
 from cedarchute.decisions.quota_share import MOST_WAIT_SECONDS, QuotaGrant
 from cedarchute.metrics import Metrics
 from cedarchute.relay.caller_server import CallerServer
@@ -21,12 +21,12 @@
 from experiments.raw_caller import build_request
 
 LIMITED = Workspace("limited", 0, 5.0, 5.0)
-# Far longer than any test: a call that waits this long was not left to its end.
+# Longer than any test runs, so a call that waits this long never ends by itself.
 ENDLESS_SECONDS = 3600.0
 
 
 class Client:
-    """Answers every question alike."""
+    """A quota client that gives the same answer to every request."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -77,9 +77,9 @@
 
 
 def test_a_call_waits_no_longer_than_a_part_of_its_callers_patience():
-    assert find_patience(make_call(patience=2.0)) == 0.5
-    assert find_patience(make_call(patience=60.0)) == MOST_WAIT_SECONDS
-    assert find_patience(make_call(patience=None)) == MOST_WAIT_SECONDS
+    assert compute_max_wait(make_call(patience=2.0)) == 0.5
+    assert compute_max_wait(make_call(patience=60.0)) == MOST_WAIT_SECONDS
+    assert compute_max_wait(make_call(patience=None)) == MOST_WAIT_SECONDS
 
 
 def test_a_call_waits_as_long_as_its_keeper_says(monkeypatch):
--- a/tests/calls/test_target_exchange.py
+++ b/tests/calls/test_target_exchange.py
@@ -1,4 +1,4 @@
-"""What the books say of a target after its answers."""
+"""Load and failure statistics of targets after their responses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Connection:
-    """An open connection that takes everything."""
+    """A connection that accepts any response."""
 
     def finish(self, answer):
         pass
@@ -39,7 +39,7 @@
 
 
 def finish(exchange, target_id, status, seconds):
-    """Bring an answer of a target to its end, `seconds` after it was sent."""
+    """Finish a response of a target, `seconds` after the call was sent."""
     target = exchange.choice.registry.known.entries[target_id]
     answer = TargetAnswer()
     answer.status = status
