--- a/src/cedarchute/calls/program_gate.py
+++ b/src/cedarchute/calls/program_gate.py
@@ -30,7 +30,7 @@
 
 log = logging.getLogger("cedarchute.calls")
 
-# Admitted programs that this box remembers; the oldest are dropped first.
+# Admitted or running programs that this box remembers; the oldest are dropped first.
 MAX_ADMITTED_PROGRAMS: Final = 4096
 
 
@@ -129,7 +129,7 @@
         return len([1 for pair in product(workspaces, route_ranks) if pair > own])
 
     def remember_admitted(self, program: str) -> None:
-        """Remember an admitted program."""
+        """Let later calls of a program pass without a decision."""
         if not program:
             return
         self.admitted_programs[program] = None
