--- a/src/cedarchute/calls/attempts.py
+++ b/src/cedarchute/calls/attempts.py
@@ -15,8 +15,8 @@
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.calls.target_exchange import OpenAnswer, TargetExchange
-    from cedarchute.decisions.pace_meter import PaceMeter
+    from cedarchute.calls.target_client import OpenResponse, TargetClient
+    from cedarchute.decisions.slowdown_meter import SlowdownMeter
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.routing.route import Route
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        exchange: TargetExchange,
+        exchange: TargetClient,
         metrics: Metrics,
         request: CallerRequest,
         call: Call,
@@ -62,7 +62,7 @@
         service: str,
         body: bytes,
         preferred_target: str = "",
-        meter: PaceMeter | None = None,
+        meter: SlowdownMeter | None = None,
     ) -> None:
         self.exchange = exchange
         self.metrics = metrics
@@ -76,13 +76,13 @@
         self.tried: set[str] = set()
         self.possible_runs = 0
         self.deadline = request.read_at + route.timeout_seconds
-        if call.patience_seconds is not None:
-            caller_deadline = request.read_at + call.patience_seconds
+        if call.caller_timeout_seconds is not None:
+            caller_deadline = request.read_at + call.caller_timeout_seconds
             self.deadline = min(self.deadline, caller_deadline)
         max_full_wait = MAX_FULL_WAIT_SHARE * route.objective_seconds
         self.full_wait_deadline = time.monotonic() + max_full_wait
 
-    def open(self) -> OpenAnswer:
+    def open(self) -> OpenResponse:
         """Send the call until a target answers; return that response.
 
         Raises
@@ -98,8 +98,8 @@
                 extra={
                     "target": target.id,
                     "service": self.service,
-                    "active": self.exchange.choice.loads[target.start].active,
-                    "preferred": target.start == self.preferred_target,
+                    "active": self.exchange.choice.loads[target.incarnation].active,
+                    "preferred": target.incarnation == self.preferred_target,
                     "ms_left": round((self.deadline - time.monotonic()) * 1000),
                 },
             )
@@ -113,11 +113,11 @@
             self.possible_runs += 1
             return opened
 
-    def send(self, target: TargetEntry) -> OpenAnswer:
-        """Send the call to `target`; report its wait to the pace meter."""
+    def send(self, target: TargetEntry) -> OpenResponse:
+        """Send the call to `target`; report its wait to the slowdown meter."""
         wait = None
         if self.meter is not None:
-            wait = self.meter.begin_wait(target.start, time.monotonic())
+            wait = self.meter.begin_wait(target.incarnation, time.monotonic())
         try:
             return self.exchange.open(
                 self.request,
@@ -138,7 +138,9 @@
         if self.possible_runs + 1 >= self.route.max_targets:
             return self.deadline
         seconds = FAILOVER_OBJECTIVES * self.route.objective_seconds
-        mean_latency = self.exchange.choice.loads[target.start].seconds or 0.0
+        mean_latency = (
+            self.exchange.choice.loads[target.incarnation].mean_latency_seconds or 0.0
+        )
         max_silence = max(seconds, FAILOVER_MEAN_LATENCIES * mean_latency)
         return min(self.deadline, time.monotonic() + max_silence)
 
@@ -148,7 +150,9 @@
             if time.monotonic() >= self.deadline:
                 raise self.make_final_error("no time left")
             choice = self.exchange.choice
-            target = choice.choose(self.service, self.tried, self.preferred_target)
+            target = choice.select_target(
+                self.service, self.tried, self.preferred_target
+            )
             if target is not None:
                 return target
             if time.monotonic() >= self.full_wait_deadline:
--- a/src/cedarchute/calls/key_check.py
+++ b/src/cedarchute/calls/key_authenticator.py
@@ -5,18 +5,18 @@
 from typing import TYPE_CHECKING, Final, Protocol
 
 from cedarchute.calls.call_errors import CallRefusedError
-from cedarchute.calls.permit import Permit
-from cedarchute.decisions.key_trust import tell_age
+from cedarchute.calls.caller_identity import CallerIdentity
+from cedarchute.decisions.proof_age_limit import cap_age
 from cedarchute.platform.call_headers import read_key
 from cedarchute.routing.workspace_keys import digest_key
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.decisions.key_trust import KeyTrust
+    from cedarchute.decisions.proof_age_limit import ProofAgeLimit
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
+    from cedarchute.routing.active_route_table import ActiveRouteTable
     from cedarchute.routing.route import Route
-    from cedarchute.routing.route_book import RouteBook
     from cedarchute.routing.route_table import RouteTable
     from cedarchute.routing.workspace import Workspace
 
@@ -33,7 +33,7 @@
 MAX_RETRY_TIMEOUT_SHARE: Final = 0.3
 
 
-class ProofSource(Protocol):
+class FreshnessSource(Protocol):
     """Reports how fresh the configuration of this box is."""
 
     @property
@@ -42,7 +42,7 @@
         ...
 
     @property
-    def is_store_away(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether other boxes answer but have no newer configuration either."""
         ...
 
@@ -51,11 +51,15 @@
         ...
 
 
-class KeyCheck:
+class KeyAuthenticator:
     """Rejects unknown keys with 401, and calls on a stale configuration with 503."""
 
     def __init__(
-        self, routes: RouteBook, trust: KeyTrust, proof: ProofSource, metrics: Metrics
+        self,
+        routes: ActiveRouteTable,
+        trust: ProofAgeLimit,
+        proof: FreshnessSource,
+        metrics: Metrics,
     ) -> None:
         self.routes = routes
         self.trust = trust
@@ -72,16 +76,16 @@
     @property
     def is_configuration_fresh(self) -> bool:
         """Whether the configuration is fresh enough to authenticate calls."""
-        return self.trust.covers(self.proof.age_seconds)
+        return self.trust.accepts(self.proof.age_seconds)
 
     @property
-    def lacks_proof(self) -> bool:
+    def is_configuration_stale(self) -> bool:
         """Whether callers with keys should use another box."""
         return self.requires_fresh_configuration and not self.is_configuration_fresh
 
     def authenticate(
         self, request: CallerRequest, call: Call, route: Route, table: RouteTable
-    ) -> Permit | None:
+    ) -> CallerIdentity | None:
         """Return the caller's identity; None if no workspace has keys configured.
 
         Raises
@@ -95,20 +99,20 @@
         digest = digest_key(key) if key else b""
         if route.is_public:
             workspace = table.keys.find(digest) if self.is_configuration_fresh else None
-            return Permit(workspace, digest)
+            return CallerIdentity(workspace, digest)
         if not key:
             raise self.make_refusal(401, "no usable key")
         if not self.is_configuration_fresh:
             self.proof.refresh(REFRESH_WAIT_SECONDS)
-        return Permit(self.find_workspace(digest, call), digest)
+        return CallerIdentity(self.find_workspace(digest, call), digest)
 
     def revalidate(self, call: Call) -> None:
         """Check the key again right before a send, as the call may have waited."""
-        permit = call.permit
-        if permit is None or permit.workspace is None:
+        caller_identity = call.caller_identity
+        if caller_identity is None or caller_identity.workspace is None:
             return
-        found = self.find_workspace(permit.digest, call)
-        if found.name != permit.workspace.name:
+        found = self.find_workspace(caller_identity.digest, call)
+        if found.name != caller_identity.workspace.name:
             raise self.make_refusal(401, "the key went to another workspace")
 
     def find_workspace(self, digest: bytes, call: Call) -> Workspace:
@@ -124,11 +128,11 @@
 
     def compute_retry_seconds(self, call: Call) -> float:
         """Return the retry delay of a call rejected for a stale configuration."""
-        if not self.proof.is_store_away:
+        if not self.proof.is_store_unavailable:
             return RETRY_AFTER_SECONDS
-        if call.patience_seconds is None:
+        if call.caller_timeout_seconds is None:
             return STORE_UNAVAILABLE_RETRY_SECONDS
-        max_seconds = MAX_RETRY_TIMEOUT_SHARE * call.patience_seconds
+        max_seconds = MAX_RETRY_TIMEOUT_SHARE * call.caller_timeout_seconds
         return min(STORE_UNAVAILABLE_RETRY_SECONDS, max_seconds)
 
     def make_refusal(
@@ -141,4 +145,4 @@
 
     def describe_freshness(self) -> dict[str, float]:
         """Return the age of the configuration as log fields of a rejection."""
-        return {"proof_age": tell_age(self.proof.age_seconds)}
+        return {"proof_age": cap_age(self.proof.age_seconds)}
--- a/src/cedarchute/calls/turn_call.py
+++ b/src/cedarchute/calls/stream_call_handler.py
@@ -19,13 +19,13 @@
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.calls.program_gate import ProgramGate
-    from cedarchute.calls.target_exchange import OpenAnswer, TargetExchange
+    from cedarchute.calls.program_admission_controller import ProgramAdmissionController
+    from cedarchute.calls.target_client import OpenResponse, TargetClient
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.relay.reply_writer import ReplyWriter
+    from cedarchute.routing.active_route_table import ActiveRouteTable
     from cedarchute.routing.route import Route
-    from cedarchute.routing.route_book import RouteBook
     from cedarchute.turns.turn_quorum import TurnQuorum
 
 log = logging.getLogger("cedarchute.calls")
@@ -34,7 +34,7 @@
 RETRY_AFTER_SECONDS = 0.25
 
 
-class TurnCall:
+class StreamCallHandler:
     """Relays streams, stores turns and enforces token budgets.
 
     A call with a budget is accounted for at the holders of its program even on routes
@@ -43,10 +43,10 @@
 
     def __init__(
         self,
-        exchange: TargetExchange,
+        exchange: TargetClient,
         quorum: TurnQuorum,
-        routes: RouteBook,
-        gate: ProgramGate,
+        routes: ActiveRouteTable,
+        gate: ProgramAdmissionController,
         metrics: Metrics,
     ) -> None:
         self.gate = gate
@@ -59,9 +59,9 @@
         self, request: CallerRequest, writer: ReplyWriter, call: Call, route: Route
     ) -> None:
         """Relay one call; raise `CallRefusedError` if it is rejected or fails."""
-        service = self.exchange.choice.choose_service(route)
+        service = self.exchange.choice.select_service(route)
         self.gate.check(call, route, service)
-        is_accounted = route.keeps_turns or call.program.budget is not None
+        is_accounted = route.retains_turns or call.program.budget is not None
         admission = self.admit(call) if is_accounted else TurnAdmission(b"", "")
         relay = TurnRelay(self, request, writer, call, route, service, admission)
         try:
@@ -75,10 +75,14 @@
         """Report to admission control how much of the program's time was used."""
         call = relay.call
         age = admission.age_seconds
-        if age is None or call.program.aim_seconds is None or not relay.tokens:
+        if (
+            age is None
+            or call.program.soft_deadline_seconds is None
+            or not relay.tokens
+        ):
             return
         elapsed = time.monotonic() - relay.request.read_at
-        seconds_left = max(0.0, call.program.aim_seconds - elapsed)
+        seconds_left = max(0.0, call.program.soft_deadline_seconds - elapsed)
         self.gate.record_turn_end(
             relay.route, relay.service, age + elapsed, seconds_left
         )
@@ -92,8 +96,8 @@
             admission = self.quorum.begin(
                 call.program_key,
                 call.id,
-                context.most_tokens,
-                context.previous,
+                context.max_tokens,
+                context.previous_turn,
                 context.budget,
             )
         except NoQuorumError as error:
@@ -109,10 +113,10 @@
             "Turn admitted.",
             extra={
                 "program": context.program,
-                "previous": context.previous,
+                "previous": context.previous_turn,
                 "bytes_before": len(admission.text),
                 "ran_before_at": admission.target,
-                "reserved": context.most_tokens,
+                "reserved": context.max_tokens,
                 "budget": context.budget,
                 "seats_version": self.quorum.seats.table.version,
             },
@@ -139,7 +143,7 @@
 
     def __init__(
         self,
-        handler: TurnCall,
+        handler: StreamCallHandler,
         request: CallerRequest,
         writer: ReplyWriter,
         call: Call,
@@ -189,13 +193,13 @@
         if opened.answer.status == OK:
             self.complete(opened)
 
-    def relay_error_response(self, opened: OpenAnswer) -> None:
+    def relay_error_response(self, opened: OpenResponse) -> None:
         """Relay a response of the target whose status is not 200."""
         body = self.handler.exchange.read_full_body(opened)
         headers = opened.answer.headers.select_end_to_end()
         self.writer.write_whole(opened.answer.status, headers, body)
 
-    def relay_events(self, opened: OpenAnswer) -> None:
+    def relay_events(self, opened: OpenResponse) -> None:
         """Forward events as they arrive until the target's response is complete."""
         splitter = EventSplitter()
         answer = opened.answer
@@ -214,21 +218,21 @@
             raise TargetFailureError("ended within an event", Verdict.MAY_HAVE_RUN)
 
     def record_pace(
-        self, opened: OpenAnswer, last_event_at: float | None, events: int
+        self, opened: OpenResponse, last_event_at: float | None, events: int
     ) -> float:
         """Record the latency of these events; return their arrival time."""
-        target = opened.target.start
+        target = opened.target.incarnation
         now = time.monotonic()
         if last_event_at is not None:
-            self.meter.record_pauses(target, now, now - last_event_at, events)
+            self.meter.record_event_gaps(target, now, now - last_event_at, events)
             return now
-        self.meter.record_first(target, now, now - opened.sent_at)
+        self.meter.record_first_event(target, now, now - opened.sent_at)
         if events > 1:
-            self.meter.record_pauses(target, now, 0.0, events - 1)
+            self.meter.record_event_gaps(target, now, 0.0, events - 1)
         return now
 
     def forward_event(
-        self, opened: OpenAnswer, event: bytes, event_tokens: int
+        self, opened: OpenResponse, event: bytes, event_tokens: int
     ) -> None:
         """Send one event to the caller, after the headers if it is the first."""
         if not self.writer.started:
@@ -241,7 +245,7 @@
         self.writer.write_part(event)
 
     def handle_broken_stream(
-        self, opened: OpenAnswer, error: TargetFailureError
+        self, opened: OpenResponse, error: TargetFailureError
     ) -> None:
         """Raise for a stream that broke; the call has run, so it is not retried."""
         self.handler.exchange.handle_failure(opened.target, self.call, error)
@@ -250,7 +254,7 @@
             raise CallRefusedError(502, error.reason)
         raise self.attempts.make_final_error(error.reason)
 
-    def complete(self, opened: OpenAnswer) -> None:
+    def complete(self, opened: OpenResponse) -> None:
         """Store the turn, then end the caller's stream.
 
         The order matters: the caller's next turn can only continue a turn that a
@@ -259,25 +263,25 @@
         if not self.writer.started:
             headers = opened.answer.headers.select_end_to_end()
             self.writer.start_stream(opened.answer.status, headers)
-        if self.route.keeps_turns:
+        if self.route.retains_turns:
             self.store_turn(opened)
         self.writer.end_stream()
 
-    def store_turn(self, opened: OpenAnswer) -> None:
+    def store_turn(self, opened: OpenResponse) -> None:
         """Store the turn at a quorum of holders."""
         context = self.call.program
         turn = Turn(
             program=self.call.program_key,
             turn=self.call.id,
-            previous=context.previous,
+            previous=context.previous_turn,
             input=self.request.body,
             output=b"".join(self.output),
             tokens=self.tokens,
-            target=opened.target.start,
-            keep_seconds=self.route.keep_seconds,
+            target=opened.target.incarnation,
+            keep_seconds=self.route.retention_seconds,
         )
         try:
-            self.handler.quorum.take(turn)
+            self.handler.quorum.write(turn)
         except NoQuorumError as error:
             raise CallRefusedError(503, str(error)) from None
         self.is_stored = True
--- a/src/cedarchute/calls/target_exchange.py
+++ b/src/cedarchute/calls/target_client.py
@@ -17,14 +17,14 @@
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.calls.key_check import KeyCheck
-    from cedarchute.calls.permit import Permit
+    from cedarchute.calls.caller_identity import CallerIdentity
+    from cedarchute.calls.key_authenticator import KeyAuthenticator
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.relay.target_answer import TargetAnswer
     from cedarchute.relay.target_connection import TargetConnection
     from cedarchute.relay.target_pool import TargetPool
-    from cedarchute.routing.target_choice import TargetChoice
+    from cedarchute.routing.load_balancer import LoadBalancer
     from cedarchute.routing.target_entry import TargetEntry
 
 log = logging.getLogger("cedarchute.calls")
@@ -42,7 +42,7 @@
 SILENT_TARGET_SECONDS = 1.5
 
 
-class OpenAnswer(MutableRecord):
+class OpenResponse(MutableRecord):
     """A response whose headers are read, and the connection to read its body from.
 
     Attributes
@@ -60,14 +60,14 @@
     read_deadline: float
 
 
-class TargetExchange:
+class TargetClient:
     """Sends calls to targets and tracks the load and failures of each."""
 
     def __init__(
         self,
         pool: TargetPool,
-        choice: TargetChoice,
-        keys: KeyCheck,
+        choice: LoadBalancer,
+        keys: KeyAuthenticator,
         metrics: Metrics,
     ) -> None:
         self.pool = pool
@@ -83,7 +83,7 @@
         body: bytes,
         deadline: float,
         read_deadline: float,
-    ) -> OpenAnswer:
+    ) -> OpenResponse:
         """Send a call to `target` and wait for the headers of its response.
 
         Parameters
@@ -100,14 +100,16 @@
         CallRefusedError
             When the caller's key is no longer valid; this target has not run the call.
         """
-        load = self.choice.loads[target.start]
+        load = self.choice.loads[target.incarnation]
         load.active += 1
         sent_at = time.monotonic()
         connection = None
         try:
             connection = self.pool.take(target.address, deadline - sent_at)
             seconds_left = deadline - time.monotonic()
-            head = build_request(request, target, body, seconds_left, call.permit)
+            head = build_request(
+                request, target, body, seconds_left, call.caller_identity
+            )
             self.keys.revalidate(call)
             connection.send(head + body, deadline - time.monotonic())
             call_id = call.id.encode("latin-1")
@@ -118,7 +120,7 @@
                 if answer.status == MISDIRECTED_REQUEST:
                     reason = "another target answers at its address"
                     raise TargetFailureError(reason, Verdict.NOT_RUN)
-                load.record_full(FULL_TARGET_PAUSE_SECONDS)
+                load.record_overload(FULL_TARGET_PAUSE_SECONDS)
                 reason = f"refused with {answer.status}"
                 raise TargetFailureError(reason, Verdict.NOT_RUN)
         except BaseException as error:
@@ -130,7 +132,7 @@
             elif time.monotonic() - sent_at > SILENT_TARGET_SECONDS:
                 load.record_failure()
             raise
-        return OpenAnswer(target, connection, answer, sent_at, read_deadline)
+        return OpenResponse(target, connection, answer, sent_at, read_deadline)
 
     def drain_refusal(
         self, connection: TargetConnection, answer: TargetAnswer, deadline: float
@@ -150,7 +152,7 @@
         """Count a failure; pause the target unless it rejected the call."""
         self.metrics.count("targets.failures")
         if not error.reason.startswith("refused"):
-            self.choice.loads[target.start].record_failure()
+            self.choice.loads[target.incarnation].record_failure()
         log.info(
             "Target failed.",
             extra={
@@ -160,7 +162,7 @@
             },
         )
 
-    def read_full_body(self, opened: OpenAnswer) -> bytes:
+    def read_full_body(self, opened: OpenResponse) -> bytes:
         """Return the full body of a response."""
         answer = opened.answer
         parts = [answer.take_parts()]
@@ -169,10 +171,10 @@
             parts.append(answer.take_parts())
         return b"".join(parts)
 
-    def finish(self, opened: OpenAnswer) -> None:
+    def finish(self, opened: OpenResponse) -> None:
         """Record a complete response and return its connection to the pool."""
         seconds = time.monotonic() - opened.sent_at
-        load = self.choice.loads[opened.target.start]
+        load = self.choice.loads[opened.target.incarnation]
         load.active -= 1
         if is_target_error(opened.answer.status):
             self.metrics.count("targets.errors")
@@ -183,9 +185,9 @@
         opened.connection.finish(opened.answer)
         self.pool.give_back(opened.connection)
 
-    def abandon(self, opened: OpenAnswer) -> None:
+    def abandon(self, opened: OpenResponse) -> None:
         """Close the connection of a response that is not read to its end."""
-        self.choice.loads[opened.target.start].active -= 1
+        self.choice.loads[opened.target.incarnation].active -= 1
         opened.connection.close()
 
 
@@ -203,10 +205,10 @@
     target: TargetEntry,
     body: bytes,
     seconds_left: float,
-    permit: Permit | None,
+    caller_identity: CallerIdentity | None,
 ) -> bytes:
     """Return the request line and headers of a request to a target."""
-    headers = write_target_headers(request, target, seconds_left, permit)
+    headers = write_target_headers(request, target, seconds_left, caller_identity)
     line = b"%s %s HTTP/1.1\r\n" % (request.method, request.target)
     if body or request.method not in METHODS_WITHOUT_BODY:
         headers = headers.extend((b"Content-Length", b"%d" % len(body)))
