--- a/src/cedarchute/calls/attempts.py
+++ b/src/cedarchute/calls/attempts.py
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        exchange: TargetClient,
+        target_client: TargetClient,
         metrics: Metrics,
         request: CallerRequest,
         call: Call,
@@ -62,9 +62,9 @@
         service: str,
         body: bytes,
         preferred_target: str = "",
-        meter: SlowdownMeter | None = None,
+        slowdown_meter: SlowdownMeter | None = None,
     ) -> None:
-        self.exchange = exchange
+        self.target_client = target_client
         self.metrics = metrics
         self.request = request
         self.call = call
@@ -72,7 +72,7 @@
         self.service = service
         self.body = body
         self.preferred_target = preferred_target
-        self.meter = meter
+        self.slowdown_meter = slowdown_meter
         self.tried: set[str] = set()
         self.possible_runs = 0
         self.deadline = request.read_at + route.timeout_seconds
@@ -98,7 +98,9 @@
                 extra={
                     "target": target.id,
                     "service": self.service,
-                    "active": self.exchange.choice.loads[target.incarnation].active,
+                    "active": self.target_client.load_balancer.loads[
+                        target.incarnation
+                    ].active,
                     "preferred": target.incarnation == self.preferred_target,
                     "ms_left": round((self.deadline - time.monotonic()) * 1000),
                 },
@@ -116,10 +118,10 @@
     def send(self, target: TargetEntry) -> OpenResponse:
         """Send the call to `target`; report its wait to the slowdown meter."""
         wait = None
-        if self.meter is not None:
-            wait = self.meter.begin_wait(target.incarnation, time.monotonic())
+        if self.slowdown_meter is not None:
+            wait = self.slowdown_meter.begin_wait(target.incarnation, time.monotonic())
         try:
-            return self.exchange.open(
+            return self.target_client.open(
                 self.request,
                 self.call,
                 target,
@@ -129,7 +131,7 @@
             )
         finally:
             if wait is not None:
-                self.meter.end_wait(wait)
+                self.slowdown_meter.end_wait(wait)
 
     def compute_read_deadline(self, target: TargetEntry) -> float:
         """Return the monotonic time at which the call fails over from `target`."""
@@ -139,7 +141,10 @@
             return self.deadline
         seconds = FAILOVER_OBJECTIVES * self.route.objective_seconds
         mean_latency = (
-            self.exchange.choice.loads[target.incarnation].mean_latency_seconds or 0.0
+            self.target_client.load_balancer.loads[
+                target.incarnation
+            ].mean_latency_seconds
+            or 0.0
         )
         max_silence = max(seconds, FAILOVER_MEAN_LATENCIES * mean_latency)
         return min(self.deadline, time.monotonic() + max_silence)
@@ -149,8 +154,8 @@
         while True:
             if time.monotonic() >= self.deadline:
                 raise self.make_final_error("no time left")
-            choice = self.exchange.choice
-            target = choice.select_target(
+            load_balancer = self.target_client.load_balancer
+            target = load_balancer.select_target(
                 self.service, self.tried, self.preferred_target
             )
             if target is not None:
--- a/src/cedarchute/calls/call.py
+++ b/src/cedarchute/calls/call.py
@@ -21,11 +21,11 @@
     budget : int or None
         Maximum number of tokens that all turns of the program may generate; None
         if unlimited.
-    previous : str
+    previous_turn : str
         Id of the turn that this one continues; empty at the start of a chain.
-    most_tokens : int
+    max_tokens : int
         Maximum number of tokens that this turn generates.
-    aim_seconds : float or None
+    soft_deadline_seconds : float or None
         Time left until the program's soft deadline.
     """
 
@@ -43,9 +43,9 @@
     ----------
     id : str
         Unique per attempt: a retry of the same request has another id.
-    patience_seconds : float or None
+    caller_timeout_seconds : float or None
         The caller's timeout, counted from the start of its request.
-    permit : Permit or None
+    caller_identity : CallerIdentity or None
         The authenticated caller; None if no workspace has keys configured.
     """
 
--- a/src/cedarchute/calls/call_dispatcher.py
+++ b/src/cedarchute/calls/call_dispatcher.py
@@ -44,17 +44,17 @@
     def __init__(
         self,
         routes: ActiveRouteTable,
-        keys: KeyAuthenticator,
-        quota: QuotaCheck,
-        plain: PlainCallHandler,
-        turns: StreamCallHandler,
+        key_authenticator: KeyAuthenticator,
+        quota_check: QuotaCheck,
+        plain_handler: PlainCallHandler,
+        stream_handler: StreamCallHandler,
         metrics: Metrics,
     ) -> None:
         self.routes = routes
-        self.keys = keys
-        self.quota = quota
-        self.plain = plain
-        self.turns = turns
+        self.key_authenticator = key_authenticator
+        self.quota_check = quota_check
+        self.plain_handler = plain_handler
+        self.stream_handler = stream_handler
         self.metrics = metrics
 
     def handle(self, request: CallerRequest, writer: ReplyWriter) -> None:
@@ -88,16 +88,19 @@
         route = table.find(request.host, request.path)
         if route is None:
             raise CallRefusedError(
-                404, "no route", facts=self.keys.describe_freshness()
+                404, "no route", facts=self.key_authenticator.describe_freshness()
             )
         call = replace(
-            call, caller_identity=self.keys.authenticate(request, call, route, table)
+            call,
+            caller_identity=self.key_authenticator.authenticate(
+                request, call, route, table
+            ),
         )
-        self.quota.check(call, self.routes.version)
+        self.quota_check.check(call, self.routes.version)
         if route.is_stream:
-            self.turns.run(request, writer, call, route)
+            self.stream_handler.run(request, writer, call, route)
         else:
-            self.plain.run(request, writer, call, route)
+            self.plain_handler.run(request, writer, call, route)
         seconds = time.monotonic() - request.read_at
         self.metrics.count("calls.answered")
         self.metrics.time("calls.seconds", seconds)
--- a/src/cedarchute/calls/key_authenticator.py
+++ b/src/cedarchute/calls/key_authenticator.py
@@ -57,13 +57,13 @@
     def __init__(
         self,
         routes: ActiveRouteTable,
-        trust: ProofAgeLimit,
-        proof: FreshnessSource,
+        proof_age_limit: ProofAgeLimit,
+        freshness: FreshnessSource,
         metrics: Metrics,
     ) -> None:
         self.routes = routes
-        self.trust = trust
-        self.proof = proof
+        self.proof_age_limit = proof_age_limit
+        self.freshness = freshness
         self.metrics = metrics
 
     @property
@@ -71,12 +71,12 @@
         """Whether keys are required and revocations take effect within a bound."""
         table = self.routes.table
         has_keys = table is not None and table.keys is not None
-        return has_keys and not self.trust.is_unbounded
+        return has_keys and not self.proof_age_limit.is_unbounded
 
     @property
     def is_configuration_fresh(self) -> bool:
         """Whether the configuration is fresh enough to authenticate calls."""
-        return self.trust.accepts(self.proof.age_seconds)
+        return self.proof_age_limit.accepts(self.freshness.age_seconds)
 
     @property
     def is_configuration_stale(self) -> bool:
@@ -103,7 +103,7 @@
         if not key:
             raise self.make_refusal(401, "no usable key")
         if not self.is_configuration_fresh:
-            self.proof.refresh(REFRESH_WAIT_SECONDS)
+            self.freshness.refresh(REFRESH_WAIT_SECONDS)
         return CallerIdentity(self.find_workspace(digest, call), digest)
 
     def revalidate(self, call: Call) -> None:
@@ -128,7 +128,7 @@
 
     def compute_retry_seconds(self, call: Call) -> float:
         """Return the retry delay of a call rejected for a stale configuration."""
-        if not self.proof.is_store_unavailable:
+        if not self.freshness.is_store_unavailable:
             return RETRY_AFTER_SECONDS
         if call.caller_timeout_seconds is None:
             return STORE_UNAVAILABLE_RETRY_SECONDS
@@ -145,4 +145,4 @@
 
     def describe_freshness(self) -> dict[str, float]:
         """Return the age of the configuration as log fields of a rejection."""
-        return {"proof_age": cap_age(self.proof.age_seconds)}
+        return {"proof_age": cap_age(self.freshness.age_seconds)}
--- a/src/cedarchute/calls/plain_call_handler.py
+++ b/src/cedarchute/calls/plain_call_handler.py
@@ -25,17 +25,23 @@
     not repeatable is sent at most once.
     """
 
-    def __init__(self, exchange: TargetClient, metrics: Metrics) -> None:
-        self.exchange = exchange
+    def __init__(self, target_client: TargetClient, metrics: Metrics) -> None:
+        self.target_client = target_client
         self.metrics = metrics
 
     def run(
         self, request: CallerRequest, writer: ReplyWriter, call: Call, route: Route
     ) -> None:
         """Relay one call; raise `CallRefusedError` if no target answers it."""
-        service = self.exchange.choice.select_service(route)
+        service = self.target_client.load_balancer.select_service(route)
         attempts = Attempts(
-            self.exchange, self.metrics, request, call, route, service, request.body
+            self.target_client,
+            self.metrics,
+            request,
+            call,
+            route,
+            service,
+            request.body,
         )
         while True:
             opened = attempts.open()
@@ -54,16 +60,16 @@
         """Return the full body, or None if the call should be retried elsewhere."""
         finished = False
         try:
-            body = self.exchange.read_full_body(opened)
-            self.exchange.finish(opened)
+            body = self.target_client.read_full_body(opened)
+            self.target_client.finish(opened)
             finished = True
         except TargetFailureError as error:
-            self.exchange.handle_failure(opened.target, attempts.call, error)
+            self.target_client.handle_failure(opened.target, attempts.call, error)
             attempts.ensure_repeatable(error.reason)
             return None
         finally:
             if not finished:
-                self.exchange.abandon(opened)
+                self.target_client.abandon(opened)
         return body
 
     def may_repeat(self, attempts: Attempts) -> bool:
@@ -73,5 +79,5 @@
             return False
         if attempts.possible_runs >= route.max_targets:
             return False
-        choice = self.exchange.choice
-        return choice.select_target(attempts.service, attempts.tried) is not None
+        load_balancer = self.target_client.load_balancer
+        return load_balancer.select_target(attempts.service, attempts.tried) is not None
--- a/src/cedarchute/calls/program_admission_controller.py
+++ b/src/cedarchute/calls/program_admission_controller.py
@@ -46,8 +46,12 @@
         self.quorum = quorum
         self.routes = routes
         self.metrics = metrics
-        self.pace_meters: defaultdict[str, SlowdownMeter] = defaultdict(SlowdownMeter)
-        self.deadline_uses: defaultdict[str, DeadlineUsage] = defaultdict(DeadlineUsage)
+        self.slowdown_meters: defaultdict[str, SlowdownMeter] = defaultdict(
+            SlowdownMeter
+        )
+        self.deadline_usages: defaultdict[str, DeadlineUsage] = defaultdict(
+            DeadlineUsage
+        )
         self.admitted_programs: OrderedDict[str, None] = OrderedDict()
 
     def check(self, call: Call, route: Route, service: str) -> None:
@@ -62,17 +66,17 @@
         program = call.program_key
         if context.previous_turn or program in self.admitted_programs:
             return
-        slowdown = self.pace_meters[service].measure_slowdown(time.monotonic())
+        slowdown = self.slowdown_meters[service].measure_slowdown(time.monotonic())
         program_age = 0.0
         if slowdown >= MIN_SHEDDING_SLOWDOWN and program:
-            standing = self.read_standing(program)
-            if standing is None or standing.spent:
+            usage = self.read_usage(program)
+            if usage is None or usage.spent:
                 self.remember_admitted(program)
                 return
-            program_age = standing.age_seconds or 0.0
+            program_age = usage.age_seconds or 0.0
         inputs = AdmissionInputs(
             slowdown=slowdown,
-            typical_deadline_usage=self.deadline_uses[route.name].share,
+            typical_deadline_usage=self.deadline_usages[route.name].share,
             lower_ranks=self.count_lower_ranks(call, route),
             shedding_hash=compute_shedding_hash(program or call.id),
             soft_deadline_seconds=context.soft_deadline_seconds,
@@ -86,7 +90,7 @@
         self.metrics.count_refusal("overload")
         raise CallRefusedError(503, "overload", decision.retry_after_seconds)
 
-    def read_standing(self, program: str) -> ProgramUsage | None:
+    def read_usage(self, program: str) -> ProgramUsage | None:
         """Return the usage of a program, or None if its holders do not answer."""
         try:
             return self.quorum.read_usage(program)
@@ -104,13 +108,13 @@
     ) -> None:
         """Record how much of its program's time a finished turn used and left."""
         now = time.monotonic()
-        slowdown = self.pace_meters[service].measure_slowdown(now)
-        use = self.deadline_uses[route.name]
-        use.record_turn(now, slowdown, used_seconds, left_seconds)
+        slowdown = self.slowdown_meters[service].measure_slowdown(now)
+        deadline_usage = self.deadline_usages[route.name]
+        deadline_usage.record_turn(now, slowdown, used_seconds, left_seconds)
 
     def forget_target(self, target: str) -> None:
-        """Drop the pace statistics of a removed target."""
-        for meter in self.pace_meters.values():
+        """Drop the latency statistics of a removed target."""
+        for meter in self.slowdown_meters.values():
             meter.forget(target)
 
     def count_lower_ranks(self, call: Call, route: Route) -> int:
--- a/src/cedarchute/calls/quota_check.py
+++ b/src/cedarchute/calls/quota_check.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger("cedarchute.calls")
 
-# Retry delay when no keeper answered; by then silent keepers are asked last.
+# Retry delay when no quota server answered; by then silent ones are asked last.
 NO_KEEPER_RETRY_SECONDS: Final = 0.3
 # Workspaces with a rejection counter of their own; the others share one.
 MAX_COUNTED_WORKSPACES: Final = 128
@@ -54,7 +54,7 @@
         Raises
         ------
         CallRefusedError
-            429 beyond the limit, 503 if no keeper answers; nothing ran.
+            429 beyond the limit, 503 if no quota server answers; nothing ran.
         """
         workspace = call.caller_identity.workspace if call.caller_identity else None
         if workspace is None or not workspace.is_limited:
--- a/src/cedarchute/calls/stream_call_handler.py
+++ b/src/cedarchute/calls/stream_call_handler.py
@@ -43,14 +43,14 @@
 
     def __init__(
         self,
-        exchange: TargetClient,
+        target_client: TargetClient,
         quorum: TurnQuorum,
         routes: ActiveRouteTable,
-        gate: ProgramAdmissionController,
+        admission_controller: ProgramAdmissionController,
         metrics: Metrics,
     ) -> None:
-        self.gate = gate
-        self.exchange = exchange
+        self.admission_controller = admission_controller
+        self.target_client = target_client
         self.quorum = quorum
         self.routes = routes
         self.metrics = metrics
@@ -59,8 +59,8 @@
         self, request: CallerRequest, writer: ReplyWriter, call: Call, route: Route
     ) -> None:
         """Relay one call; raise `CallRefusedError` if it is rejected or fails."""
-        service = self.exchange.choice.select_service(route)
-        self.gate.check(call, route, service)
+        service = self.target_client.load_balancer.select_service(route)
+        self.admission_controller.check(call, route, service)
         is_accounted = route.retains_turns or call.program.budget is not None
         admission = self.admit(call) if is_accounted else TurnAdmission(b"", "")
         relay = TurnRelay(self, request, writer, call, route, service, admission)
@@ -83,7 +83,7 @@
             return
         elapsed = time.monotonic() - relay.request.read_at
         seconds_left = max(0.0, call.program.soft_deadline_seconds - elapsed)
-        self.gate.record_turn_end(
+        self.admission_controller.record_turn_end(
             relay.route, relay.service, age + elapsed, seconds_left
         )
 
@@ -157,13 +157,13 @@
         self.call = call
         self.route = route
         self.service = service
-        self.meter = handler.gate.pace_meters[service]
+        self.slowdown_meter = handler.admission_controller.slowdown_meters[service]
         self.tokens = 0
         self.is_stored = False
         self.output: list[bytes] = []
         body = admission.text + request.body
         self.attempts = Attempts(
-            handler.exchange,
+            handler.target_client,
             handler.metrics,
             request,
             call,
@@ -171,7 +171,7 @@
             self.service,
             body,
             admission.target,
-            self.meter,
+            self.slowdown_meter,
         )
 
     def run(self) -> None:
@@ -183,19 +183,19 @@
                 self.relay_events(opened)
             else:
                 self.relay_error_response(opened)
-            self.handler.exchange.finish(opened)
+            self.handler.target_client.finish(opened)
             finished = True
         except TargetFailureError as error:
             self.handle_broken_stream(opened, error)
         finally:
             if not finished:
-                self.handler.exchange.abandon(opened)
+                self.handler.target_client.abandon(opened)
         if opened.answer.status == OK:
             self.complete(opened)
 
     def relay_error_response(self, opened: OpenResponse) -> None:
         """Relay a response of the target whose status is not 200."""
-        body = self.handler.exchange.read_full_body(opened)
+        body = self.handler.target_client.read_full_body(opened)
         headers = opened.answer.headers.select_end_to_end()
         self.writer.write_whole(opened.answer.status, headers, body)
 
@@ -208,7 +208,7 @@
         while True:
             events = splitter.feed(answer.take_parts())
             if events:
-                last_event_at = self.record_pace(opened, last_event_at, len(events))
+                last_event_at = self.record_latency(opened, last_event_at, len(events))
             for event in events:
                 self.forward_event(opened, event, event_tokens)
             if answer.is_complete:
@@ -217,18 +217,20 @@
         if splitter.rest.strip():
             raise TargetFailureError("ended within an event", Verdict.MAY_HAVE_RUN)
 
-    def record_pace(
+    def record_latency(
         self, opened: OpenResponse, last_event_at: float | None, events: int
     ) -> float:
         """Record the latency of these events; return their arrival time."""
         target = opened.target.incarnation
         now = time.monotonic()
         if last_event_at is not None:
-            self.meter.record_event_gaps(target, now, now - last_event_at, events)
+            self.slowdown_meter.record_event_gaps(
+                target, now, now - last_event_at, events
+            )
             return now
-        self.meter.record_first_event(target, now, now - opened.sent_at)
+        self.slowdown_meter.record_first_event(target, now, now - opened.sent_at)
         if events > 1:
-            self.meter.record_event_gaps(target, now, 0.0, events - 1)
+            self.slowdown_meter.record_event_gaps(target, now, 0.0, events - 1)
         return now
 
     def forward_event(
@@ -248,7 +250,7 @@
         self, opened: OpenResponse, error: TargetFailureError
     ) -> None:
         """Raise for a stream that broke; the call has run, so it is not retried."""
-        self.handler.exchange.handle_failure(opened.target, self.call, error)
+        self.handler.target_client.handle_failure(opened.target, self.call, error)
         if self.writer.started:
             self.handler.metrics.count("turns.broken")
             raise CallRefusedError(502, error.reason)
--- a/src/cedarchute/calls/target_client.py
+++ b/src/cedarchute/calls/target_client.py
@@ -66,13 +66,13 @@
     def __init__(
         self,
         pool: TargetPool,
-        choice: LoadBalancer,
-        keys: KeyAuthenticator,
+        load_balancer: LoadBalancer,
+        key_authenticator: KeyAuthenticator,
         metrics: Metrics,
     ) -> None:
         self.pool = pool
-        self.keys = keys
-        self.choice = choice
+        self.key_authenticator = key_authenticator
+        self.load_balancer = load_balancer
         self.metrics = metrics
 
     def open(
@@ -100,7 +100,7 @@
         CallRefusedError
             When the caller's key is no longer valid; this target has not run the call.
         """
-        load = self.choice.loads[target.incarnation]
+        load = self.load_balancer.loads[target.incarnation]
         load.active += 1
         sent_at = time.monotonic()
         connection = None
@@ -110,7 +110,7 @@
             head = build_request(
                 request, target, body, seconds_left, call.caller_identity
             )
-            self.keys.revalidate(call)
+            self.key_authenticator.revalidate(call)
             connection.send(head + body, deadline - time.monotonic())
             call_id = call.id.encode("latin-1")
             answer = connection.read_answer(call_id, ANSWER_ID, read_deadline)
@@ -152,7 +152,7 @@
         """Count a failure; pause the target unless it rejected the call."""
         self.metrics.count("targets.failures")
         if not error.reason.startswith("refused"):
-            self.choice.loads[target.incarnation].record_failure()
+            self.load_balancer.loads[target.incarnation].record_failure()
         log.info(
             "Target failed.",
             extra={
@@ -174,7 +174,7 @@
     def finish(self, opened: OpenResponse) -> None:
         """Record a complete response and return its connection to the pool."""
         seconds = time.monotonic() - opened.sent_at
-        load = self.choice.loads[opened.target.incarnation]
+        load = self.load_balancer.loads[opened.target.incarnation]
         load.active -= 1
         if is_target_error(opened.answer.status):
             self.metrics.count("targets.errors")
@@ -187,7 +187,7 @@
 
     def abandon(self, opened: OpenResponse) -> None:
         """Close the connection of a response that is not read to its end."""
-        self.choice.loads[opened.target.incarnation].active -= 1
+        self.load_balancer.loads[opened.target.incarnation].active -= 1
         opened.connection.close()
 
 
--- a/tests/calls/test_key_authenticator.py
+++ b/tests/calls/test_key_authenticator.py
@@ -68,12 +68,12 @@
     return CallerRequest(b"POST", b"/x", Headers(fields), b"", True, time.monotonic())
 
 
-def make_call(patience=4.0):
-    return Call("c", patience, ProgramContext("", None, "", 0))
+def make_call(caller_timeout=4.0):
+    return Call("c", caller_timeout, ProgramContext("", None, "", 0))
 
 
-def authenticate(check, key="key-a", patience=4.0):
-    call = make_call(patience)
+def authenticate(check, key="key-a", caller_timeout=4.0):
+    call = make_call(caller_timeout)
     caller_identity = check.authenticate(
         make_request(key), call, ROUTE, check.routes.table
     )
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    ("is_store_unavailable", "patience", "retry_after"),
+    ("is_store_unavailable", "caller_timeout", "retry_after"),
     [
         (False, 4.0, RETRY_AFTER_SECONDS),
         (True, 20.0, STORE_UNAVAILABLE_RETRY_SECONDS),
@@ -109,12 +109,12 @@
     ],
 )
 def test_without_a_proof_callers_are_told_when_to_come_back(
-    is_store_unavailable, patience, retry_after
+    is_store_unavailable, caller_timeout, retry_after
 ):
     check = make_check(
         Proof(age_seconds=9.0, is_store_unavailable=is_store_unavailable)
     )
-    refusal = read_refusal(lambda: authenticate(check, patience=patience))
+    refusal = read_refusal(lambda: authenticate(check, caller_timeout=caller_timeout))
     assert refusal.status == 503
     assert refusal.retry_after_seconds == pytest.approx(retry_after)
     assert refusal.facts["proof_age"] == 9.0
@@ -154,12 +154,12 @@
     call = authenticate(check)
     registry = TargetRegistry(lambda entry: None)
     target = TargetEntry("t", "s", Address("10.0.0.1", 1), "a", True, 8)
-    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
+    load_balancer = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
     pool = WaitingPool(meanwhile)
-    exchange = TargetClient(pool, choice, check, Metrics())
+    client = TargetClient(pool, load_balancer, check, Metrics())
     deadline = time.monotonic() + 4.0
     with pytest.raises((CallRefusedError, TargetFailureError)) as caught:
-        exchange.open(make_request(), call, target, b"", deadline, deadline)
+        client.open(make_request(), call, target, b"", deadline, deadline)
     return caught.value, pool.sent
 
 
--- a/tests/calls/test_quota_check.py
+++ b/tests/calls/test_quota_check.py
@@ -39,9 +39,9 @@
         return self.answer
 
 
-def make_call(workspace=LIMITED, previous="", most_tokens=0, patience=4.0):
-    terms = ProgramContext("p", None, previous, most_tokens)
-    return Call("c", patience, terms, CallerIdentity(workspace, b"x"))
+def make_call(workspace=LIMITED, previous_turn="", max_tokens=0, caller_timeout=4.0):
+    context = ProgramContext("p", None, previous_turn, max_tokens)
+    return Call("c", caller_timeout, context, CallerIdentity(workspace, b"x"))
 
 
 def check(answer, call):
@@ -58,9 +58,9 @@
 
 
 def test_a_stream_that_goes_on_from_nothing_begins_a_program():
-    asked = check(QuotaGrant(True), make_call(most_tokens=30))
+    asked = check(QuotaGrant(True), make_call(max_tokens=30))
     assert asked == [("limited", 7, True)]
-    asked = check(QuotaGrant(True), make_call(most_tokens=30, previous="t"))
+    asked = check(QuotaGrant(True), make_call(max_tokens=30, previous_turn="t"))
     assert asked == [("limited", 7, False)]
 
 
@@ -77,9 +77,9 @@
 
 
 def test_a_call_waits_no_longer_than_a_part_of_its_callers_patience():
-    assert compute_max_wait(make_call(patience=2.0)) == 0.5
-    assert compute_max_wait(make_call(patience=60.0)) == MAX_WAIT_SECONDS
-    assert compute_max_wait(make_call(patience=None)) == MAX_WAIT_SECONDS
+    assert compute_max_wait(make_call(caller_timeout=2.0)) == 0.5
+    assert compute_max_wait(make_call(caller_timeout=60.0)) == MAX_WAIT_SECONDS
+    assert compute_max_wait(make_call(caller_timeout=None)) == MAX_WAIT_SECONDS
 
 
 def test_a_call_waits_as_long_as_its_keeper_says(monkeypatch):
--- a/tests/calls/test_target_client.py
+++ b/tests/calls/test_target_client.py
@@ -29,36 +29,36 @@
 
 
 @pytest.fixture
-def exchange():
+def client():
     registry = TargetRegistry(lambda entry: None)
     for number in (1, 2):
         address = Address("10.0.0.1", number)
         registry.put(TargetEntry(f"t-{number}", "s", address, "a", True, 8))
-    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
-    return TargetClient(Pool(), choice, None, Metrics())
+    load_balancer = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
+    return TargetClient(Pool(), load_balancer, None, Metrics())
 
 
-def finish(exchange, target_id, status, seconds):
+def finish(client, target_id, status, seconds):
     """Finish a response of a target, `seconds` after the call was sent."""
-    target = exchange.choice.registry.known.entries[target_id]
+    target = client.load_balancer.registry.known.entries[target_id]
     answer = TargetAnswer()
     answer.status = status
     sent_at = time.monotonic() - seconds
-    exchange.choice.loads[target_id].active += 1
-    exchange.finish(OpenResponse(target, Connection(), answer, sent_at, sent_at + 9))
+    client.load_balancer.loads[target_id].active += 1
+    client.finish(OpenResponse(target, Connection(), answer, sent_at, sent_at + 9))
 
 
-def test_a_target_that_fails_fast_is_not_taken_for_a_fast_one(exchange):
-    finish(exchange, "t-1", 500, 0.001)
-    finish(exchange, "t-2", 200, 0.5)
+def test_a_target_that_fails_fast_is_not_taken_for_a_fast_one(client):
+    finish(client, "t-1", 500, 0.001)
+    finish(client, "t-2", 200, 0.5)
     for _ in range(10):
-        assert exchange.choice.select_target("s", set()).id == "t-2"
-    assert exchange.choice.loads["t-1"].mean_latency_seconds is None
+        assert client.load_balancer.select_target("s", set()).id == "t-2"
+    assert client.load_balancer.loads["t-1"].mean_latency_seconds is None
 
 
 @pytest.mark.parametrize("status", [200, 404, 504])
-def test_other_answers_say_how_long_a_target_takes(exchange, status):
-    finish(exchange, "t-1", status, 0.001)
-    finish(exchange, "t-2", 200, 0.5)
-    assert exchange.choice.select_target("s", set()).id == "t-1"
-    assert exchange.choice.loads["t-1"].failure_share == 0
+def test_other_answers_say_how_long_a_target_takes(client, status):
+    finish(client, "t-1", status, 0.001)
+    finish(client, "t-2", 200, 0.5)
+    assert client.load_balancer.select_target("s", set()).id == "t-1"
+    assert client.load_balancer.loads["t-1"].failure_share == 0
