--- a/src/cedarchute/scheduling/admission.py
+++ b/src/cedarchute/scheduling/admission.py
@@ -14,9 +14,9 @@
     from cedarchute.operators.configuration import Configuration
     from cedarchute.scheduling.target_book import TargetBook
 
-LEAST_WAIT_SECONDS: Final = 0.4
-MOST_EXCESS: Final = 10.0
-SPREAD: Final = 1.0
+MIN_RETRY_AFTER_SECONDS: Final = 0.4
+MAX_EXCESS: Final = 10.0
+JITTER: Final = 1.0
 
 
 class Admission:
@@ -56,8 +56,8 @@
         if excess <= 0:
             return
         self.metrics.count_refusal("overloaded")
-        wait = LEAST_WAIT_SECONDS * (1.0 + min(excess, MOST_EXCESS))
-        wait *= 1.0 + self.random_source.uniform(0, SPREAD)
+        wait = MIN_RETRY_AFTER_SECONDS * (1.0 + min(excess, MAX_EXCESS))
+        wait *= 1.0 + self.random_source.uniform(0, JITTER)
         raise Problem(
             "overloaded",
             f"The engines have {backlog:.1f} requests waiting for each slot.",
@@ -72,5 +72,5 @@
             if target.report is None or is_leaving(target):
                 continue
             slots += target.report.max_running
-            waiting += max(0, target.queued - target.report.max_running)
+            waiting += max(0, target.outstanding_requests - target.report.max_running)
         return waiting / slots if slots else 0.0
--- a/src/cedarchute/scheduling/least_load.py
+++ b/src/cedarchute/scheduling/least_load.py
@@ -23,4 +23,6 @@
     ) -> TargetState:
         """Return the least loaded target."""
         del request
-        return min(targets, key=lambda t: (t.queued, random_source.random()))
+        return min(
+            targets, key=lambda t: (t.outstanding_requests, random_source.random())
+        )
--- a/src/cedarchute/scheduling/load_poller.py
+++ b/src/cedarchute/scheduling/load_poller.py
@@ -26,13 +26,13 @@
         book: TargetBook,
         configuration: Configuration,
         client: EngineClient,
-        seconds: float,
+        interval_seconds: float,
         random_source: random.Random,
     ) -> None:
         self.book = book
         self.configuration = configuration
         self.client = client
-        self.seconds = seconds
+        self.interval_seconds = interval_seconds
         self.random_source = random_source
 
     def poll_forever(self) -> None:
@@ -41,7 +41,7 @@
             for target in list(self.book.targets.values()):
                 if self.is_engine(target):
                     eventlet.spawn_n(self.poll, target)
-            eventlet.sleep(self.seconds * self.random_source.uniform(0.8, 1.2))
+            eventlet.sleep(self.interval_seconds * self.random_source.uniform(0.8, 1.2))
 
     def is_engine(self, target: TargetState) -> bool:
         """Return whether the target is a model engine."""
--- a/src/cedarchute/scheduling/order.py
+++ b/src/cedarchute/scheduling/order.py
@@ -11,7 +11,7 @@
 LEVELS: Final = 8
 AGEING_SECONDS: Final = 20.0
 HEAD_START_SECONDS: Final = 2.0
-STEPS_A_SECOND: Final = 10
+PRIORITY_STEPS_PER_SECOND: Final = 10
 
 
 @dataclass(frozen=True)
@@ -47,7 +47,7 @@
     """
     if order is Order.OLDEST:
         head_start = HEAD_START_SECONDS * (standing.weight - 1.0)
-        return int((standing.opened_at - head_start) * STEPS_A_SECOND)
-    weighed = standing.attained_tokens / standing.weight
-    level = min(LEVELS, int(weighed / LEVEL_TOKENS).bit_length())
+        return int((standing.opened_at - head_start) * PRIORITY_STEPS_PER_SECOND)
+    weighted_tokens = standing.attained_tokens / standing.weight
+    level = min(LEVELS, int(weighted_tokens / LEVEL_TOKENS).bit_length())
     return max(0, level - int(standing.age_seconds / AGEING_SECONDS))
--- a/src/cedarchute/scheduling/prefix_digests.py
+++ b/src/cedarchute/scheduling/prefix_digests.py
@@ -10,7 +10,7 @@
 
 CHUNK_CHARACTERS: Final = 256
 CHUNK_TOKENS: Final = CHUNK_CHARACTERS // 4
-MOST_CHUNKS: Final = 64
+MAX_CHUNKS: Final = 64
 DIGEST_BYTES: Final = 8
 
 
@@ -28,18 +28,18 @@
     Returns
     -------
     tuple of bytes
-        At most `MOST_CHUNKS` digests, of 1, 2, 3, ... chunks.
+        At most `MAX_CHUNKS` digests, of 1, 2, 3, ... chunks.
     """
     digests = []
     state = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    rest = ""
+    remainder = ""
     for content in contents:
-        rest += content + "\n"
-        whole = len(rest) - len(rest) % CHUNK_CHARACTERS
-        for start in range(0, whole, CHUNK_CHARACTERS):
-            state.update(rest[start : start + CHUNK_CHARACTERS].encode())
+        remainder += content + "\n"
+        complete_length = len(remainder) - len(remainder) % CHUNK_CHARACTERS
+        for start in range(0, complete_length, CHUNK_CHARACTERS):
+            state.update(remainder[start : start + CHUNK_CHARACTERS].encode())
             digests.append(state.digest())
-            if len(digests) == MOST_CHUNKS:
+            if len(digests) == MAX_CHUNKS:
                 return tuple(digests)
-        rest = rest[whole:]
+        remainder = remainder[complete_length:]
     return tuple(digests)
--- a/src/cedarchute/scheduling/prefix_index.py
+++ b/src/cedarchute/scheduling/prefix_index.py
@@ -15,8 +15,8 @@
     from cedarchute.clock import Clock
     from cedarchute.scheduling.target_state import TargetState
 
-MOST_ENTRIES: Final = 4096
-BELIEVED_SECONDS: Final = 60.0
+MAX_ENTRIES: Final = 4096
+ENTRY_TTL_SECONDS: Final = 60.0
 
 
 class PrefixIndex:
@@ -42,7 +42,7 @@
                 entry.is_shared = True
             entry.targets[target] = now
             self.entries.move_to_end(digest)
-        while len(self.entries) > MOST_ENTRIES:
+        while len(self.entries) > MAX_ENTRIES:
             self.entries.popitem(last=False)
 
     def count_shared_tokens(self, digests: Sequence[bytes]) -> int:
@@ -57,16 +57,16 @@
 
     def count_held_tokens(self, digests: Sequence[bytes], target: str) -> int:
         """Return how much of a beginning a target is believed to hold."""
-        oldest = self.clock.monotonic() - BELIEVED_SECONDS
-        held = 0
+        oldest = self.clock.monotonic() - ENTRY_TTL_SECONDS
+        cached = 0
         for number, digest in enumerate(digests, start=1):
             entry = self.entries.get(digest)
             if entry is None or entry.targets.get(target, oldest) <= oldest:
                 break
-            held = number
-        return held * CHUNK_TOKENS
+            cached = number
+        return cached * CHUNK_TOKENS
 
-    def choose_meeting(
+    def choose_affinity_target(
         self, digests: Sequence[bytes], targets: Sequence[TargetState]
     ) -> TargetState | None:
         """Return the target on which programs with this beginning meet."""
--- a/src/cedarchute/scheduling/shared_holds.py
+++ b/src/cedarchute/scheduling/shared_holds.py
@@ -9,7 +9,7 @@
 
 from cedarchute.programs.records import ChatMessage
 from cedarchute.scheduling.prefix_digests import CHUNK_TOKENS
-from cedarchute.scheduling.shared_name import make_shared_name
+from cedarchute.scheduling.shared_name import make_pinned_prefix_key
 from cedarchute.targets.generate_request import GenerateRequest
 from cedarchute.targets.target_error import TargetError
 
@@ -24,12 +24,12 @@
 
 log = logging.getLogger("cedarchute.release")
 
-LEAST_TOKENS: Final = 128
-LAST_PRIORITY: Final = 2**31 - 1
-SECONDS_ALLOWED: Final = 10.0
+MIN_PREFIX_TOKENS: Final = 128
+LOWEST_PRIORITY: Final = 2**31 - 1
+REQUEST_TIMEOUT_SECONDS: Final = 10.0
 # A busy engine is not asked again with each call that ends there.
 RETRY_SECONDS: Final = 5.0
-MOST_REMEMBERED: Final = 4096
+MAX_TRACKED_KEYS: Final = 4096
 
 
 class SharedHolds:
@@ -43,7 +43,7 @@
 
     Parameters
     ----------
-    find_seconds : callable
+    get_interval_seconds : callable
         Returns the length of a span in seconds; 0 when nothing is to be held.
     """
 
@@ -51,13 +51,13 @@
         self,
         engines: EngineClient,
         index: PrefixIndex,
-        find_seconds: Callable[[], float],
+        get_interval_seconds: Callable[[], float],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self.engines = engines
         self.index = index
-        self.find_seconds = find_seconds
+        self.get_interval_seconds = get_interval_seconds
         self.clock = clock
         self.metrics = metrics
         self.not_before: dict[tuple[str, str], float] = {}
@@ -73,62 +73,62 @@
 
         The messages are read only when it is not held yet.
         """
-        seconds = self.find_seconds()
+        seconds = self.get_interval_seconds()
         tokens = self.index.count_shared_tokens(prefixes)
-        if seconds <= 0 or tokens < LEAST_TOKENS:
+        if seconds <= 0 or tokens < MIN_PREFIX_TOKENS:
             return
         digest = prefixes[tokens // CHUNK_TOKENS - 1]
-        name = make_shared_name(self.clock.wall(), seconds, digest)
+        key = make_pinned_prefix_key(self.clock.wall(), seconds, digest)
         now = self.clock.monotonic()
-        if now < self.not_before.get((target.name, name), now):
+        if now < self.not_before.get((target.name, key), now):
             return
         # Once in its span; sooner only when it fails.
-        self.not_before[(target.name, name)] = float("inf")
-        if len(self.not_before) > MOST_REMEMBERED:
+        self.not_before[(target.name, key)] = float("inf")
+        if len(self.not_before) > MAX_TRACKED_KEYS:
             del self.not_before[next(iter(self.not_before))]
-        beginning = cut_messages(read_messages(), tokens * 4)
-        eventlet.spawn_n(self.hold, target, model, name, beginning)
+        prefix_messages = truncate_messages(read_messages(), tokens * 4)
+        eventlet.spawn_n(self.pin, target, model, key, prefix_messages)
 
-    def hold(
+    def pin(
         self,
         target: TargetState,
         model: str,
-        name: str,
-        beginning: Sequence[ChatMessage],
+        key: str,
+        prefix_messages: Sequence[ChatMessage],
     ) -> None:
-        """Ask for one token after the beginning, under the name that holds it."""
+        """Ask for one token after the prefix_messages, under the name that holds it."""
         request = GenerateRequest(
-            request_id=name,
-            program=name,
+            request_id=key,
+            program=key,
             model=model,
-            messages=beginning,
+            messages=prefix_messages,
             max_tokens=1,
-            priority=LAST_PRIORITY,
+            priority=LOWEST_PRIORITY,
         )
         try:
             for _ in self.engines.generate(
-                target.section.address, request, SECONDS_ALLOWED
+                target.section.address, request, REQUEST_TIMEOUT_SECONDS
             ):
                 pass
         except TargetError as error:
             self.metrics.count("shared.failed")
             log.info("Shared beginning not held on %s: %s.", target.name, error)
-            again = self.clock.monotonic() + RETRY_SECONDS
-            self.not_before[(target.name, name)] = again
+            retry_at = self.clock.monotonic() + RETRY_SECONDS
+            self.not_before[(target.name, key)] = retry_at
             return
         self.metrics.count("shared.held")
 
 
-def cut_messages(
+def truncate_messages(
     messages: Sequence[ChatMessage], characters: int
 ) -> tuple[ChatMessage, ...]:
     """Return the messages up to a number of characters, the last one cut there."""
-    beginning = []
+    prefix_messages = []
     for message in messages:
-        beginning.append(
+        prefix_messages.append(
             ChatMessage(role=message.role, content=message.content[:characters])
         )
         characters -= len(message.content) + 1
         if characters <= 0:
             break
-    return tuple(beginning)
+    return tuple(prefix_messages)
--- a/src/cedarchute/scheduling/shared_name.py
+++ b/src/cedarchute/scheduling/shared_name.py
@@ -5,10 +5,10 @@
 from typing import Final
 
 SHARED_PREFIX: Final = "shared"
-SPANS_HELD: Final = 2
+RETENTION_INTERVALS: Final = 2
 
 
-def make_shared_name(now: float, seconds: float, digest: bytes) -> str:
+def make_pinned_prefix_key(now: float, seconds: float, digest: bytes) -> str:
     """Return the name of a shared beginning for the span of time around `now`.
 
     Parameters
@@ -32,4 +32,4 @@
     parts = name.split(".")
     if len(parts) != 4 or not parts[1].isdigit() or not parts[2].isdigit():
         return True
-    return now >= int(parts[1]) + SPANS_HELD * int(parts[2])
+    return now >= int(parts[1]) + RETENTION_INTERVALS * int(parts[2])
--- a/src/cedarchute/scheduling/sticky.py
+++ b/src/cedarchute/scheduling/sticky.py
@@ -18,7 +18,7 @@
     """The first call goes to the least load, the others to the same target."""
 
     def __init__(self) -> None:
-        self.first = LeastLoad()
+        self.initial_policy = LeastLoad()
 
     def choose(
         self,
@@ -30,4 +30,4 @@
         for target in targets:
             if target.name == request.last_target:
                 return target
-        return self.first.choose(request, targets, random_source)
+        return self.initial_policy.choose(request, targets, random_source)
--- a/src/cedarchute/scheduling/target_book.py
+++ b/src/cedarchute/scheduling/target_book.py
@@ -16,8 +16,8 @@
     from cedarchute.operators.site_file import SiteFile, TargetSection
     from cedarchute.targets.load_report import LoadReport
 
-FIRST_REST_SECONDS: Final = 0.5
-LONGEST_REST_SECONDS: Final = 15.0
+BACKOFF_BASE_SECONDS: Final = 0.5
+MAX_BACKOFF_SECONDS: Final = 15.0
 
 
 class TargetBook:
@@ -42,50 +42,52 @@
         self.site: SiteFile | None = None
         self.ring = BoxRing(())
         self.targets: dict[str, TargetState] = {}
-        self.others: dict[str, TargetState] = {}
+        self.unassigned: dict[str, TargetState] = {}
         self.by_service: dict[str, list[TargetState]] = {}
         self.platform_leaving: frozenset[str] = frozenset()
 
     def on_configuration(self, accepted: AcceptedFile) -> None:
         """Take in an accepted file; what is known of kept targets stays."""
         self.site = accepted.site
-        self.choose_own()
+        self.assign_targets()
 
     def on_ring(self, ring: BoxRing) -> None:
         """Take in which boxes there are."""
         if ring.names != self.ring.names:
             self.ring = ring
-            self.choose_own()
+            self.assign_targets()
 
-    def choose_own(self) -> None:
+    def assign_targets(self) -> None:
         """Choose the targets that this box works with.
 
         It takes a few of each service by rank, and those that the ring of boxes
         gives to it, so that each target is some box's. Targets of other regions
         serve only where its own has none.
         """
-        known = {**self.others, **self.targets}
+        known_states = {**self.unassigned, **self.targets}
         self.targets = {}
-        self.others = {}
+        self.unassigned = {}
         self.by_service = {}
         if self.site is None:
             return
         for service in self.site.services:
             sections = self.site.targets_of(service)
-            near = [n for n, s in sections.items() if s.region == self.region]
-            ranked = sorted(near or sections, key=lambda name: rank(self.box, name))
-            own = [
+            same_region = [n for n, s in sections.items() if s.region == self.region]
+            ranked = sorted(
+                same_region or sections, key=lambda name: rank(self.box, name)
+            )
+            assigned = [
                 name
                 for position, name in enumerate(ranked)
                 if position < self.subset or self.ring.find_owner(name) == self.box
             ]
-            for name in own:
-                state = keep_state(known.get(name), name, sections[name])
+            for name in assigned:
+                state = update_state(known_states.get(name), name, sections[name])
                 self.targets[name] = state
                 self.by_service.setdefault(service, []).append(state)
         for name, section in self.site.targets.items():
-            if name in known and name not in self.targets:
-                self.others[name] = keep_state(known[name], name, section)
+            if name in known_states and name not in self.targets:
+                self.unassigned[name] = update_state(known_states[name], name, section)
 
     def find(self, name: str) -> TargetState | None:
         """Return any target of the accepted file.
@@ -93,10 +95,10 @@
         One that other boxes work with is found too: a program that this box has
         taken over may have its answer or its cache there.
         """
-        state = self.targets.get(name) or self.others.get(name)
+        state = self.targets.get(name) or self.unassigned.get(name)
         if state is not None or self.site is None or name not in self.site.targets:
             return state
-        state = self.others[name] = TargetState(name, self.site.targets[name])
+        state = self.unassigned[name] = TargetState(name, self.site.targets[name])
         return state
 
     def usable(self, service: str, excluded: set[str]) -> list[TargetState]:
@@ -108,20 +110,20 @@
             if not is_leaving(target)
             and target.name not in self.platform_leaving
             and target.name not in excluded
-            and self.may_try(target, now)
+            and self.accepts_request(target, now)
         ]
 
-    def may_try(self, target: TargetState, now: float) -> bool:
+    def accepts_request(self, target: TargetState, now: float) -> bool:
         """Return whether a target is sound, or due for one careful try."""
         if target.failures == 0:
             return True
-        return now >= target.failing_until and not target.probing
+        return now >= target.backoff_until and not target.probing
 
     def on_sent(self, target: TargetState, tokens: int, priority: int = 0) -> None:
         """Note a request that goes to `target`, with `tokens` to compute."""
         target.in_flight += 1
         target.priorities.append(priority)
-        target.sent_tokens_since += tokens
+        target.tokens_sent_since_report += tokens
         target.probing = target.failures > 0
 
     def on_done(self, target: TargetState, priority: int = 0) -> None:
@@ -143,8 +145,8 @@
     def rest(self, target: TargetState) -> None:
         """Leave a target alone for a while; for twice as long each time."""
         target.failures += 1
-        rest = min(FIRST_REST_SECONDS * 2**target.failures, LONGEST_REST_SECONDS)
-        target.failing_until = self.clock.monotonic() + rest
+        backoff = min(BACKOFF_BASE_SECONDS * 2**target.failures, MAX_BACKOFF_SECONDS)
+        target.backoff_until = self.clock.monotonic() + backoff
         self.metrics.count("targets.rested")
 
     def on_report(self, target: TargetState, report: LoadReport) -> None:
@@ -152,10 +154,10 @@
         target.report = report
         target.reported_at = self.clock.monotonic()
         target.in_flight_at_report = target.in_flight
-        target.sent_tokens_since = 0
+        target.tokens_sent_since_report = 0
 
 
-def keep_state(
+def update_state(
     state: TargetState | None, name: str, section: TargetSection
 ) -> TargetState:
     """Return what is known of a target, or a new state when its address changed."""
--- a/src/cedarchute/scheduling/target_state.py
+++ b/src/cedarchute/scheduling/target_state.py
@@ -9,7 +9,7 @@
     from cedarchute.operators.site_file import TargetSection
     from cedarchute.targets.load_report import LoadReport
 
-LEARNING_RATE: Final = 0.05
+SMOOTHING_FACTOR: Final = 0.05
 
 
 @dataclass
@@ -22,13 +22,13 @@
         Requests of this box that are at the target now.
     in_flight_at_report : int
         The same at the time of the last report.
-    sent_tokens_since : int
+    tokens_sent_since_report : int
         Input tokens that this box sent after the last report.
     priorities : list of int
         Those of the requests of this box that are at the target now.
-    answer_tokens : float
+    mean_answer_tokens : float
         Mean length of the answers that this box had from it lately.
-    uncached_share : float
+    uncached_fraction : float
         Share of the prompts' tokens that it had to compute lately.
     """
 
@@ -38,16 +38,16 @@
     in_flight_at_report: int = 0
     report: LoadReport | None = None
     reported_at: float = 0.0
-    sent_tokens_since: int = 0
+    tokens_sent_since_report: int = 0
     failures: int = 0
-    failing_until: float = 0.0
+    backoff_until: float = 0.0
     probing: bool = False
     priorities: list[int] = field(default_factory=list)
-    answer_tokens: float | None = None
-    uncached_share: float = 1.0
+    mean_answer_tokens: float | None = None
+    uncached_fraction: float = 1.0
 
     @property
-    def queued(self) -> int:
+    def outstanding_requests(self) -> int:
         """Requests at the target as far as this box can tell.
 
         Its own part is known exactly; only that of other boxes is as late as the
@@ -58,7 +58,7 @@
         reported = self.report.running + self.report.waiting
         return self.in_flight + max(0, reported - self.in_flight_at_report)
 
-    def share_ahead(self, priority: int) -> float:
+    def estimate_fraction_ahead(self, priority: int) -> float:
         """Return which share of the target's requests goes before a priority.
 
         The requests of this box stand for those of the others, which it cannot see.
@@ -71,20 +71,20 @@
     def learn(self, prompt_tokens: int, cached_tokens: int, answer_tokens: int) -> None:
         """Take the counts of a finished answer into the means."""
         uncached = 1.0 - cached_tokens / prompt_tokens if prompt_tokens else 1.0
-        self.uncached_share += LEARNING_RATE * (uncached - self.uncached_share)
-        known = self.answer_tokens
-        if known is None:
-            self.answer_tokens = float(answer_tokens)
+        self.uncached_fraction += SMOOTHING_FACTOR * (uncached - self.uncached_fraction)
+        mean = self.mean_answer_tokens
+        if mean is None:
+            self.mean_answer_tokens = float(answer_tokens)
         else:
-            self.answer_tokens = known + LEARNING_RATE * (answer_tokens - known)
+            self.mean_answer_tokens = mean + SMOOTHING_FACTOR * (answer_tokens - mean)
 
-    def queued_tokens(self, now: float) -> float:
+    def estimate_pending_tokens(self, now: float) -> float:
         """Return the input tokens that the target has yet to compute.
 
         What was reported and what was sent since drains at the target's rate.
         """
         if self.report is None:
-            return float(self.sent_tokens_since)
+            return float(self.tokens_sent_since_report)
         drained = (now - self.reported_at) * self.report.prefill_tokens_per_second
-        known = self.report.waiting_tokens + self.sent_tokens_since
-        return max(0.0, known - drained)
+        pending = self.report.waiting_tokens + self.tokens_sent_since_report
+        return max(0.0, pending - drained)
--- a/src/cedarchute/targets/engine_client.py
+++ b/src/cedarchute/targets/engine_client.py
@@ -14,8 +14,8 @@
 from cedarchute.targets.stream_piece import StreamEnd, StreamPiece
 from cedarchute.targets.target_error import (
     TargetError,
-    describe_status,
-    describe_transport_error,
+    make_status_error,
+    make_transport_error,
 )
 from cedarchute.verdict import Verdict
 
@@ -28,13 +28,13 @@
     from cedarchute.metrics import Metrics
     from cedarchute.targets.generate_request import GenerateRequest
 
-CONNECT_SECONDS: Final = 2.0
-CONTROL_SECONDS: Final = 3.0
+CONNECT_TIMEOUT_SECONDS: Final = 2.0
+CONTROL_TIMEOUT_SECONDS: Final = 3.0
 # A call waits for a move, and can do without it.
-MOVE_SECONDS: Final = 1.0
-CONNECTIONS: Final = 64
-CONTROL_CONNECTIONS: Final = 4
-HOSTS: Final = 256
+CACHE_TRANSFER_TIMEOUT_SECONDS: Final = 1.0
+MAX_CONNECTIONS: Final = 64
+MAX_CONTROL_CONNECTIONS: Final = 4
+MAX_HOSTS: Final = 256
 JSON_HEADERS: Final = {"content-type": "application/json"}
 TRANSPORT_ERRORS: Final = (urllib3.exceptions.HTTPError, OSError)
 
@@ -44,11 +44,11 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
-        self.pools = HostPools(CONNECTIONS, HOSTS)
-        self.control_pools = HostPools(CONTROL_CONNECTIONS, HOSTS)
+        self.pools = HostPools(MAX_CONNECTIONS, MAX_HOSTS)
+        self.control_pools = HostPools(MAX_CONTROL_CONNECTIONS, MAX_HOSTS)
 
     def generate(
-        self, address: Address, request: GenerateRequest, seconds: float
+        self, address: Address, request: GenerateRequest, timeout_seconds: float
     ) -> Iterator[StreamPiece | StreamEnd]:
         """Start an answer and yield its pieces, the end last.
 
@@ -58,11 +58,13 @@
             With ``not run`` only when the engine surely did not start.
         """
         path = "/v1/chat/completions"
-        response = self._open("POST", address, path, seconds, request.to_bytes())
-        yield from self._read(response)
+        response = self._open_stream(
+            "POST", address, path, timeout_seconds, request.to_bytes()
+        )
+        yield from self._read_events(response)
 
     def resume(
-        self, address: Address, request_id: str, offset: int, seconds: float
+        self, address: Address, request_id: str, offset: int, timeout_seconds: float
     ) -> Iterator[StreamPiece | StreamEnd]:
         """Continue an answer at `offset` characters.
 
@@ -72,34 +74,40 @@
             ``stream_unknown`` when the engine does not know the request.
         """
         path = f"/v1/streams/{request_id}?offset={offset}"
-        response = self._open("GET", address, path, seconds)
-        yield from self._read(response)
+        response = self._open_stream("GET", address, path, timeout_seconds)
+        yield from self._read_events(response)
 
     def cancel(self, address: Address, request_id: str) -> None:
         """Stop an answer; raise `TargetError` when the engine did not confirm."""
-        self._control("DELETE", address, f"/v1/streams/{request_id}")
+        self._send_control_request("DELETE", address, f"/v1/streams/{request_id}")
 
     def release(self, address: Address, program: str) -> None:
         """Free the cache of `program`; raise `TargetError` when unconfirmed."""
         body = {"program": program}
-        self._control("POST", address, "/cache/release", body)
+        self._send_control_request("POST", address, "/cache/release", body)
 
     def export_cache(self, address: Address, program: str) -> dict[str, Any]:
         """Return what an engine has cached of `program`, for another one to take."""
         body = {"program": program}
-        return self._control("POST", address, "/cache/export", body, MOVE_SECONDS)
+        return self._send_control_request(
+            "POST", address, "/cache/export", body, CACHE_TRANSFER_TIMEOUT_SECONDS
+        )
 
     def import_cache(self, address: Address, exported: dict[str, Any]) -> None:
         """Give an engine what another one has exported."""
-        self._control("POST", address, "/cache/import", exported, MOVE_SECONDS)
+        self._send_control_request(
+            "POST", address, "/cache/import", exported, CACHE_TRANSFER_TIMEOUT_SECONDS
+        )
 
     def read_held(self, address: Address) -> list[str]:
         """Return the programs that the engine holds cache for."""
-        return list(self._control("GET", address, "/cache/held")["programs"])
+        return list(
+            self._send_control_request("GET", address, "/cache/held")["programs"]
+        )
 
     def read_load(self, address: Address) -> LoadReport:
         """Return the engine's load report."""
-        document = self._control("GET", address, "/load")
+        document = self._send_control_request("GET", address, "/load")
         try:
             return LoadReport.model_validate(document)
         except ValidationError as error:
@@ -107,21 +115,21 @@
 
     def read_state(self, address: Address) -> dict[str, Any]:
         """Return the model, version and fence of an engine."""
-        return self._control("GET", address, "/state")
+        return self._send_control_request("GET", address, "/state")
 
     def order(self, address: Address, order: dict[str, object]) -> dict[str, Any]:
         """Give an order; raise `TargetError` when it was refused or unanswered."""
-        return self._control("POST", address, "/orders", order)
+        return self._send_control_request("POST", address, "/orders", order)
 
-    def _open(
+    def _open_stream(
         self,
         method: str,
         address: Address,
         path: str,
-        seconds: float,
+        timeout_seconds: float,
         body: bytes | None = None,
     ) -> BaseHTTPResponse:
-        timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=seconds)
+        timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_SECONDS, read=timeout_seconds)
         try:
             response = self.pools.request(
                 method,
@@ -133,46 +141,48 @@
                 timeout=timeout,
             )
         except TRANSPORT_ERRORS as error:
-            raise describe_transport_error(error) from error
+            raise make_transport_error(error) from error
         if response.status == 200:
             return response
         response.drain_conn()
         response.release_conn()
         if response.status == 404 and method == "GET":
             raise TargetError("stream_unknown", path, Verdict.MAY_HAVE_RUN)
-        raise describe_status(response)
+        raise make_status_error(response)
 
-    def _read(self, response: BaseHTTPResponse) -> Iterator[StreamPiece | StreamEnd]:
+    def _read_events(
+        self, response: BaseHTTPResponse
+    ) -> Iterator[StreamPiece | StreamEnd]:
         buffer = b""
-        is_whole = False
+        is_complete = False
         try:
             while chunk := response.read1(65_536):
                 buffer += chunk
-                complete, separator, rest = buffer.rpartition(b"\n\n")
+                complete, separator, remainder = buffer.rpartition(b"\n\n")
                 if not separator:
                     continue
-                buffer = rest
+                buffer = remainder
                 for item in parse_events(complete):
                     yield item
-                    is_whole = is_whole or isinstance(item, StreamEnd)
+                    is_complete = is_complete or isinstance(item, StreamEnd)
         except (*TRANSPORT_ERRORS, ValueError, KeyError) as error:
             response.close()
-            raise describe_transport_error(error) from error
+            raise make_transport_error(error) from error
         finally:
-            if is_whole:
+            if is_complete:
                 response.release_conn()
             else:
                 response.close()
-        if not is_whole:
+        if not is_complete:
             raise TargetError("target_broke_off", "no end", Verdict.MAY_HAVE_RUN)
 
-    def _control(
+    def _send_control_request(
         self,
         method: str,
         address: Address,
         path: str,
         body: dict[str, object] | None = None,
-        seconds: float = CONTROL_SECONDS,
+        timeout_seconds: float = CONTROL_TIMEOUT_SECONDS,
     ) -> dict[str, Any]:
         data = None if body is None else json.dumps(body).encode()
         try:
@@ -182,13 +192,13 @@
                 path,
                 body=data,
                 headers=JSON_HEADERS,
-                timeout=seconds,
+                timeout=timeout_seconds,
             )
         except TRANSPORT_ERRORS as error:
-            raise describe_transport_error(error) from error
+            raise make_transport_error(error) from error
         self.metrics.count_exchange("control", 0, len(response.data))
         if response.status != 200:
-            raise describe_status(response)
+            raise make_status_error(response)
         try:
             return response.json()
         except ValueError as error:
--- a/src/cedarchute/targets/orders/order_term.py
+++ b/src/cedarchute/targets/orders/command_lease.py
@@ -5,7 +5,7 @@
 from cedarchute.message import Message
 
 
-class OrderTerm(Message):
+class CommandLease(Message):
     """The store's record of who may order a target.
 
     `fence` goes up with each term. A target that checks it refuses the orders of
--- a/src/cedarchute/targets/orders/order_keeper.py
+++ b/src/cedarchute/targets/orders/order_keeper.py
@@ -11,7 +11,7 @@
 from cedarchute.membership.rank import rank
 from cedarchute.operators.site_file import ServiceKind
 from cedarchute.platform.store_client import StoreUnavailableError
-from cedarchute.targets.orders.order_term import OrderTerm
+from cedarchute.targets.orders.command_lease import CommandLease
 from cedarchute.targets.target_error import TargetError
 
 if TYPE_CHECKING:
@@ -27,16 +27,16 @@
 
 log = logging.getLogger("cedarchute.orders")
 
-TERM_SECONDS: Final = 10.0
-STOP_EARLY_SECONDS: Final = 4.0
+LEASE_SECONDS: Final = 10.0
+LEASE_MARGIN_SECONDS: Final = 4.0
 
 
 class OrderKeeper:
     """Compares what engines serve with what they should, and orders the rest.
 
     Only `loads_at_once` boxes order, each one target at a time: that bounds what
-    the weight store has to give, without asking anyone. A term lasts `TERM_SECONDS`
-    from before its compare-and-swap; its holder stops `STOP_EARLY_SECONDS` before
+    the weight store has to give, without asking anyone. A term lasts `LEASE_SECONDS`
+    from before its compare-and-swap; its holder stops `LEASE_MARGIN_SECONDS` before
     the end, which covers pauses and clock rates, because not every target checks
     the fence. Another box takes the next term only after it has seen the same one
     in the store for the whole time.
@@ -50,7 +50,7 @@
         keeper: LeaseKeeper,
         configuration: Configuration,
         engines: EngineClient,
-        seconds: float,
+        interval_seconds: float,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -60,103 +60,105 @@
         self.keeper = keeper
         self.configuration = configuration
         self.engines = engines
-        self.seconds = seconds
+        self.interval_seconds = interval_seconds
         self.clock = clock
         self.metrics = metrics
-        self.seen: dict[str, tuple[str, float]] = {}
+        self.observed_leases: dict[str, tuple[str, float]] = {}
         self.operations = itertools.count(1)
 
     def order_forever(self) -> None:
         """Look after this box's share of the targets in each period."""
         while True:
-            eventlet.sleep(self.seconds)
+            eventlet.sleep(self.interval_seconds)
             site = self.configuration.site
             if site is None:
                 continue
-            ordering = self.find_ordering(site.site.loads_at_once)
-            if self.keeper.record.name not in ordering:
+            reconcilers = self.select_reconcilers(site.site.loads_at_once)
+            if self.keeper.record.name not in reconcilers:
                 continue
             for name, target in site.targets.items():
                 service = site.services[target.service]
-                if service.kind is ServiceKind.MODEL and self.is_mine(name, ordering):
-                    self.look_after(name, target, service)
+                if service.kind is ServiceKind.MODEL and self.is_assigned(
+                    name, reconcilers
+                ):
+                    self.reconcile(name, target, service)
 
-    def find_ordering(self, count: int) -> list[str]:
+    def select_reconcilers(self, count: int) -> list[str]:
         """Return the boxes that order; every box computes the same ones."""
         names = [box.name for box in self.view.entries]
         return sorted(names, key=lambda name: rank("orders", name))[:count]
 
-    def is_mine(self, target: str, ordering: list[str]) -> bool:
+    def is_assigned(self, target: str, reconcilers: list[str]) -> bool:
         """Return whether this box orders `target`, of those that order."""
-        chosen = max(ordering, key=lambda name: rank(name, target))
+        chosen = max(reconcilers, key=lambda name: rank(name, target))
         return chosen == self.keeper.record.name
 
-    def look_after(
+    def reconcile(
         self, name: str, target: TargetSection, service: ServiceSection
     ) -> None:
         """Order one target if it does not serve what it should."""
-        wanted = {
+        desired = {
             "model": service.model,
             "version": service.version or "",
             "adapters": sorted(service.adapters),
         }
         try:
-            if self.is_right(target, wanted):
+            if self.is_up_to_date(target, desired):
                 return
-            self.order(name, target, wanted)
+            self.issue_command(name, target, desired)
         except TargetError as error:
             self.metrics.count_retry("order")
             log.info("Order to %s: %s.", name, error)
         except StoreUnavailableError:
             self.metrics.count_retry("order_store")
 
-    def is_right(self, target: TargetSection, wanted: dict[str, object]) -> bool:
+    def is_up_to_date(self, target: TargetSection, desired: dict[str, object]) -> bool:
         """Return whether a target serves what it should."""
         state = self.engines.read_state(target.address)
-        return all(state.get(key) == value for key, value in wanted.items())
+        return all(state.get(key) == value for key, value in desired.items())
 
-    def order(
-        self, name: str, target: TargetSection, wanted: dict[str, object]
+    def issue_command(
+        self, name: str, target: TargetSection, desired: dict[str, object]
     ) -> None:
         """Take a term and give one order within it."""
         started = self.clock.monotonic()
-        term = self.take_term(name)
-        if term is None:
+        lease = self.acquire_lease(name)
+        if lease is None:
             return
-        # The state is read again within the term: an earlier holder's order may
+        # The state is read again within the lease: an earlier holder's order may
         # have arrived meanwhile.
-        if self.is_right(target, wanted):
+        if self.is_up_to_date(target, desired):
             return
-        if self.clock.monotonic() - started > TERM_SECONDS - STOP_EARLY_SECONDS:
+        if self.clock.monotonic() - started > LEASE_SECONDS - LEASE_MARGIN_SECONDS:
             self.metrics.count_refusal("order_term_over")
             return
-        self.engines.order(target.address, {**wanted, "fence": term.fence})
+        self.engines.order(target.address, {**desired, "fence": lease.fence})
         self.metrics.count("orders.given")
-        log.info("Ordered %s to serve %s under %d.", name, wanted, term.fence)
+        log.info("Ordered %s to serve %s under %d.", name, desired, lease.fence)
 
-    def take_term(self, target: str) -> OrderTerm | None:
+    def acquire_lease(self, target: str) -> CommandLease | None:
         """Take the next term for a target, if the last one is surely over."""
         key = self.keys.order(target)
         entry = self.store.get(key)
-        last = OrderTerm.model_validate_json(entry.value) if entry else None
-        if last is not None and not self.is_over(last):
+        last = CommandLease.model_validate_json(entry.value) if entry else None
+        if last is not None and not self.is_expired(last):
             return None
-        term = OrderTerm(
+        lease = CommandLease(
             target=target,
             holder=self.keeper.record.identity,
             fence=(last.fence if last else 0) + 1,
             operation=f"{self.keeper.record.identity}/{next(self.operations)}",
         )
-        result = self.store.swap(key, term.to_json(), entry.version if entry else 0)
-        return term if result.won else None
+        result = self.store.swap(key, lease.to_json(), entry.version if entry else 0)
+        return lease if result.won else None
 
-    def is_over(self, term: OrderTerm) -> bool:
+    def is_expired(self, lease: CommandLease) -> bool:
         """Return whether the holder of a term has stopped using it."""
-        if term.holder == self.keeper.record.identity:
+        if lease.holder == self.keeper.record.identity:
             return True
         now = self.clock.monotonic()
-        operation, since = self.seen.get(term.target, ("", now))
-        if operation != term.operation:
-            self.seen[term.target] = (term.operation, now)
+        operation, since = self.observed_leases.get(lease.target, ("", now))
+        if operation != lease.operation:
+            self.observed_leases[lease.target] = (lease.operation, now)
             return False
-        return now - since > TERM_SECONDS
+        return now - since > LEASE_SECONDS
--- a/src/cedarchute/targets/service_client.py
+++ b/src/cedarchute/targets/service_client.py
@@ -7,24 +7,29 @@
 import urllib3
 
 from cedarchute.host_pools import HostPools
-from cedarchute.targets.target_error import describe_status, describe_transport_error
+from cedarchute.targets.target_error import make_status_error, make_transport_error
 
 if TYPE_CHECKING:
     from cedarchute.address import Address
 
-CONNECTIONS: Final = 64
-HOSTS: Final = 256
-CONNECT_SECONDS: Final = 2.0
+MAX_CONNECTIONS: Final = 64
+MAX_HOSTS: Final = 256
+CONNECT_TIMEOUT_SECONDS: Final = 2.0
 
 
 class ServiceClient:
     """Posts one JSON body and returns the answer's text."""
 
     def __init__(self) -> None:
-        self.pools = HostPools(CONNECTIONS, HOSTS)
+        self.pools = HostPools(MAX_CONNECTIONS, MAX_HOSTS)
 
     def call(
-        self, address: Address, key: str, program: str, body: str, seconds: float
+        self,
+        address: Address,
+        key: str,
+        program: str,
+        body: str,
+        timeout_seconds: float,
     ) -> str:
         """Call the service once.
 
@@ -45,10 +50,12 @@
                 "/call",
                 body=body.encode(),
                 headers=headers,
-                timeout=urllib3.Timeout(connect=CONNECT_SECONDS, read=seconds),
+                timeout=urllib3.Timeout(
+                    connect=CONNECT_TIMEOUT_SECONDS, read=timeout_seconds
+                ),
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise describe_transport_error(error) from error
+            raise make_transport_error(error) from error
         if response.status != 200:
-            raise describe_status(response)
+            raise make_status_error(response)
         return response.data.decode()
--- a/src/cedarchute/targets/target_error.py
+++ b/src/cedarchute/targets/target_error.py
@@ -32,7 +32,7 @@
         self.retry_after = retry_after
 
 
-def describe_transport_error(error: Exception) -> TargetError:
+def make_transport_error(error: Exception) -> TargetError:
     """Return what a failed exchange says about the request.
 
     Only a connection that was never made proves that nothing ran.
@@ -48,7 +48,7 @@
     return TargetError("target_broke_off", str(error), Verdict.MAY_HAVE_RUN)
 
 
-def describe_status(response: BaseHTTPResponse) -> TargetError:
+def make_status_error(response: BaseHTTPResponse) -> TargetError:
     """Return what an error status says about the request."""
     retry_after = response.headers.get("retry-after")
     seconds = float(retry_after) if retry_after else None
--- a/src/experiments/mutations.py
+++ b/src/experiments/mutations.py
@@ -217,14 +217,14 @@
     Mutation(
         "orders end before their term does",
         "targets/orders/order_keeper.py",
-        "if self.clock.monotonic() - started > TERM_SECONDS - STOP_EARLY_SECONDS:",
+        "if self.clock.monotonic() - started > LEASE_SECONDS - LEASE_MARGIN_SECONDS:",
         "if False:",
         "tests/targets/test_order_keeper.py",
     ),
     Mutation(
         "a term is taken only after the last one is over",
         "targets/orders/order_keeper.py",
-        "if last is not None and not self.is_over(last):",
+        "if last is not None and not self.is_expired(last):",
         "if False:",
         "tests/targets/test_order_keeper.py",
     ),
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -130,7 +130,7 @@
         policy = make_policy(0.0, index)
         met.add(policy.choose(request, busy, random.Random(box)).name)
     assert len(met - {f"t{box}" for box in range(5)}) <= 1
-    meeting = PrefixIndex(StillClock()).choose_meeting(prefixes, targets)
+    meeting = PrefixIndex(StillClock()).choose_affinity_target(prefixes, targets)
     assert meeting.name in met
 
 
@@ -155,7 +155,7 @@
         targets.append(make_target(1, running=8, waiting=waiting_elsewhere))
         targets += [make_target(n, running=8, waiting=8) for n in (2, 3)]
         for target in targets:
-            target.answer_tokens = 40.0
+            target.mean_answer_tokens = 40.0
         return make_policy(1.0).choose(request, targets, random.Random(1)).name
 
     assert choose(waiting_elsewhere=5) == "t0"
@@ -188,7 +188,7 @@
     request = make_request(prompt_tokens=200, prefixes=prefixes)
     policy = make_policy(1.0, index)
     targets = [make_target(0), make_target(1)]
-    meeting = index.choose_meeting(prefixes, targets)
+    meeting = index.choose_affinity_target(prefixes, targets)
     (other,) = (target for target in targets if target is not meeting)
 
     def choose(running):
@@ -206,7 +206,7 @@
     def choose(importing):
         targets = [make_target(n, importing=importing) for n in range(2)]
         targets[0] = make_target(0, running=8, waiting=16, importing=importing)
-        targets[0].answer_tokens = 50.0
+        targets[0].mean_answer_tokens = 50.0
         return make_policy(1.0).choose(request, targets, random.Random(1)).name
 
     assert choose(0.0) == "t0"
--- a/tests/scheduling/test_prefix_index.py
+++ b/tests/scheduling/test_prefix_index.py
@@ -6,10 +6,10 @@
 from cedarchute.scheduling.prefix_digests import (
     CHUNK_CHARACTERS,
     CHUNK_TOKENS,
-    MOST_CHUNKS,
+    MAX_CHUNKS,
     digest_prefixes,
 )
-from cedarchute.scheduling.prefix_index import BELIEVED_SECONDS, PrefixIndex
+from cedarchute.scheduling.prefix_index import ENTRY_TTL_SECONDS, PrefixIndex
 
 SHARED = "s" * (3 * CHUNK_CHARACTERS)
 
@@ -27,7 +27,7 @@
 
 
 def test_a_long_prompt_has_a_bounded_number_of_digests():
-    assert len(digest_prefixes(["x" * 1_000_000])) == MOST_CHUNKS
+    assert len(digest_prefixes(["x" * 1_000_000])) == MAX_CHUNKS
     assert digest_prefixes(["short"]) == ()
 
 
@@ -48,12 +48,12 @@
     index.note(digests, "p1", "t0")
     assert index.count_held_tokens(digests, "t0") == 3 * CHUNK_TOKENS
     assert index.count_held_tokens(digests, "t1") == 0
-    clock.now += BELIEVED_SECONDS + 1
+    clock.now += ENTRY_TTL_SECONDS + 1
     assert index.count_held_tokens(digests, "t0") == 0
 
 
 def test_the_index_is_bounded(monkeypatch):
-    monkeypatch.setattr(prefix_index, "MOST_ENTRIES", 10)
+    monkeypatch.setattr(prefix_index, "MAX_ENTRIES", 10)
     index = PrefixIndex(StillClock())
     for number in range(30):
         index.note(digest_prefixes([f"{number:04}" * 64]), "p", "t0")
--- a/tests/scheduling/test_shared_holds.py
+++ b/tests/scheduling/test_shared_holds.py
@@ -11,7 +11,7 @@
 from cedarchute.scheduling.shared_holds import (
     RETRY_SECONDS,
     SharedHolds,
-    cut_messages,
+    truncate_messages,
 )
 from cedarchute.scheduling.shared_name import is_shared_name, is_shared_name_over
 from cedarchute.scheduling.target_state import TargetState
@@ -121,6 +121,6 @@
         ChatMessage(role="system", content="abc"),
         ChatMessage(role="user", content="defgh"),
     ]
-    cut = cut_messages(messages, 6)
+    cut = truncate_messages(messages, 6)
     assert [m.content for m in cut] == ["abc", "de"]
     assert [m.role for m in cut] == ["system", "user"]
--- a/tests/targets/test_order_keeper.py
+++ b/tests/targets/test_order_keeper.py
@@ -13,7 +13,7 @@
 from cedarchute.metrics import Metrics
 from cedarchute.operators.configuration import Configuration
 from cedarchute.operators.site_file import ServiceSection, TargetSection
-from cedarchute.targets.orders.order_keeper import TERM_SECONDS, OrderKeeper
+from cedarchute.targets.orders.order_keeper import LEASE_SECONDS, OrderKeeper
 
 TARGET = TargetSection(service="agent", address="127.0.0.1:9000", failure_domain="a")
 SERVICE = ServiceSection(kind="model", model="small", version="2")
@@ -79,36 +79,36 @@
 
 
 def test_an_engine_is_ordered_once_under_a_fence(site):
-    site.first.look_after("one", TARGET, SERVICE)
-    site.first.look_after("one", TARGET, SERVICE)
+    site.first.reconcile("one", TARGET, SERVICE)
+    site.first.reconcile("one", TARGET, SERVICE)
     assert [order["fence"] for order in site.engine.orders] == [1]
     assert site.engine.state["version"] == "2"
 
 
 def test_a_holder_that_was_paused_in_its_term_gives_no_order(site):
     def pause():
-        site.clock.now += TERM_SECONDS
+        site.clock.now += LEASE_SECONDS
 
     site.engine.on_read = pause
-    site.first.look_after("one", TARGET, SERVICE)
+    site.first.reconcile("one", TARGET, SERVICE)
     assert site.engine.orders == []
     site.engine.on_read = None
-    site.first.look_after("one", TARGET, SERVICE)
+    site.first.reconcile("one", TARGET, SERVICE)
     assert site.engine.orders[0]["fence"] == 2
 
 
 def test_another_box_orders_only_after_the_term_is_over(site):
-    site.first.take_term("one")
-    site.second.look_after("one", TARGET, SERVICE)
+    site.first.acquire_lease("one")
+    site.second.reconcile("one", TARGET, SERVICE)
     assert site.engine.orders == []
-    site.clock.now += TERM_SECONDS + 1
-    site.second.look_after("one", TARGET, SERVICE)
+    site.clock.now += LEASE_SECONDS + 1
+    site.second.reconcile("one", TARGET, SERVICE)
     assert site.engine.orders[0]["fence"] == 2
 
 
 def test_a_term_whose_reply_was_lost_is_nobodys(site):
     site.store.lost_replies = 1
-    site.first.look_after("one", TARGET, SERVICE)
+    site.first.reconcile("one", TARGET, SERVICE)
     assert site.engine.orders == []
-    site.first.look_after("one", TARGET, SERVICE)
+    site.first.reconcile("one", TARGET, SERVICE)
     assert site.engine.orders[0]["fence"] == 2
