--- a/src/cedarchute/scheduling/__init__.py
+++ b/src/cedarchute/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Which program goes first, on which target, and what is let in."""
+"""Priority of programs, placement of calls on targets, and admission control."""
--- a/src/cedarchute/scheduling/admission.py
+++ b/src/cedarchute/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Lets new programs in, or refuses them at once with a time to come back."""
+"""Admission control for new programs."""
 
 from __future__ import annotations
 
@@ -20,11 +20,10 @@
 
 
 class Admission:
-    """Refuses new programs while the engines' queues are long.
+    """Rejects new programs while the engines' queues are too long.
 
-    Programs under way are never refused for load: their history and cache are
-    paid for already, and finishing them is what brings the load down. So an
-    overload costs newcomers a wait and nobody what was done for them.
+    Programs that are already running are never rejected for load: their prompts
+    are computed and cached, and finishing them is what reduces the load.
     """
 
     def __init__(
@@ -40,13 +39,13 @@
         self.metrics = metrics
 
     def admit(self) -> None:
-        """Let one new program in.
+        """Admit one new program.
 
         Raises
         ------
         Problem
-            ``overloaded`` when the queue is longer than operators allow; the time
-            to come back grows with it and is spread by chance.
+            ``overloaded`` when the backlog exceeds ``admit_backlog``. The
+            Retry-After time grows with the excess and has random jitter.
         """
         site = self.configuration.site
         if site is None:
@@ -66,7 +65,7 @@
         )
 
     def measure_backlog(self) -> float:
-        """Return how many requests wait for each slot of the known engines."""
+        """Return the number of waiting requests per slot, over all known engines."""
         waiting = slots = 0
         for target in self.book.targets.values():
             if target.report is None or is_leaving(target):
--- a/src/cedarchute/scheduling/least_load.py
+++ b/src/cedarchute/scheduling/least_load.py
@@ -1,4 +1,4 @@
-"""Takes the target with the fewest requests; a baseline."""
+"""Placement by fewest outstanding requests; a baseline policy."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LeastLoad:
-    """Each call goes where the fewest requests are, ties by chance."""
+    """Sends each call to the least loaded target; breaks ties at random."""
 
     def choose(
         self,
@@ -21,7 +21,7 @@
         targets: Sequence[TargetState],
         random_source: random.Random,
     ) -> TargetState:
-        """Return the least loaded target."""
+        """Return the target with the fewest outstanding requests."""
         del request
         return min(
             targets, key=lambda t: (t.outstanding_requests, random_source.random())
--- a/src/cedarchute/scheduling/load_poller.py
+++ b/src/cedarchute/scheduling/load_poller.py
@@ -1,4 +1,4 @@
-"""Asks the engines for their load."""
+"""Periodic polling of the engines for load reports."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LoadPoller:
-    """One task that starts a poll of each engine in each period."""
+    """Starts one poll of every engine per interval."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.random_source = random_source
 
     def poll_forever(self) -> None:
-        """Poll in each period, spread by chance."""
+        """Poll all engines until the process ends, with jitter on the interval."""
         while True:
             for target in list(self.book.targets.values()):
                 if self.is_engine(target):
@@ -50,7 +50,7 @@
         return service is not None and service.kind is ServiceKind.MODEL
 
     def poll(self, target: TargetState) -> None:
-        """Take in one report, if the engine answers."""
+        """Fetch one load report; skip an engine that does not answer."""
         try:
             report = self.client.read_load(target.section.address)
         except TargetError:
--- a/src/cedarchute/scheduling/order.py
+++ b/src/cedarchute/scheduling/order.py
@@ -1,4 +1,4 @@
-"""The priority of a call, from what is known of its program."""
+"""Priority of a call, computed from the state of its program."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 @dataclass(frozen=True)
 class ProgramStanding:
-    """What the order of programs depends on.
+    """Inputs to the priority of a program.
 
     Attributes
     ----------
     opened_at : float
-        Wall clock time at which the program opened, in seconds; for a sub-agent
-        that of the program at the root, so that nobody waits for a latecomer.
+        Wall clock time at which the program opened, in seconds. A sub-agent has
+        the time of its root program, so that it does not queue as a new one.
     age_seconds : float
-        Seconds since then.
+        Seconds since `opened_at`.
     attained_tokens : int
-        Tokens computed for the program so far.
+        Tokens computed for the program so far (attained service).
     weight : float
-        The weight of its workspace.
+        Weight of the workspace of the program.
     """
 
     opened_at: float
@@ -40,10 +40,10 @@
 def priority_of(order: Order, standing: ProgramStanding) -> int:
     """Return the priority of a program's next call; lower goes first.
 
-    Oldest first makes a program wait in one queue once, instead of at the end of
-    a queue at each of its turns: that shortens the slowest programs. Least
-    attained service first shortens the short programs at the cost of long ones;
-    age lifts these again.
+    `Order.OLDEST` orders programs first come, first served, so that a program does
+    not queue again at the back for each call; this reduces the tail of completion
+    times. `Order.ATTAINED` is least attained service, which favours short programs;
+    ageing prevents starvation of the long ones.
     """
     if order is Order.OLDEST:
         head_start = HEAD_START_SECONDS * (standing.weight - 1.0)
--- a/src/cedarchute/scheduling/placement.py
+++ b/src/cedarchute/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""The choice of a target, as a protocol with several policies."""
+"""Protocol of the placement policies, which choose a target for a call."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclass(frozen=True)
 class PlacementRequest:
-    """What a policy may know of a call when it chooses.
+    """Input of a placement policy: one call and its program.
 
     Attributes
     ----------
     prompt_tokens : int
-        The whole history with the new input.
+        Length of the prompt, which is the program's history and the new input.
     cached_tokens : mapping of str to int
-        For each target, how much of the history it is believed to have cached.
+        Estimated number of prompt tokens in the cache of each target.
     prefixes : sequence of bytes
-        Digests of the beginnings of the prompt, which other programs may share.
+        Digests of the prompt's prefixes, which other programs may share.
     priority : int
-        What an engine orders its queue by; lower goes first.
+        Sort key of the engines' queues; lower goes first.
     last_target : str or None
-        Where the previous call of the program ran.
+        Target of the previous call of the program.
     """
 
     program: str
@@ -41,7 +41,7 @@
 
 
 class PlacementPolicy(Protocol):
-    """Chooses one of some targets, all of which may be used."""
+    """Chooses one of the available targets."""
 
     def choose(
         self,
@@ -49,5 +49,5 @@
         targets: Sequence[TargetState],
         random_source: random.Random,
     ) -> TargetState:
-        """Return the target that the call goes to."""
+        """Return the target to send the call to."""
         ...
--- a/src/cedarchute/scheduling/policies.py
+++ b/src/cedarchute/scheduling/policies.py
@@ -1,4 +1,4 @@
-"""The policy that the accepted file names."""
+"""Selection of the placement policy from the accepted file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PolicyChoice:
-    """Holds the policy in force."""
+    """Holds the configured placement policy."""
 
     def __init__(self, index: PrefixIndex, clock: Clock) -> None:
         self.index = index
@@ -26,11 +26,11 @@
         self.policy: PlacementPolicy = ProgramAware(0.5, index, clock)
 
     def current(self) -> PlacementPolicy:
-        """Return the policy in force."""
+        """Return the configured policy."""
         return self.policy
 
     def on_configuration(self, accepted: AcceptedFile) -> None:
-        """Make the policy that a new file names."""
+        """Replace the policy by the one that the accepted file names."""
         site = accepted.site.site
         match site.policy:
             case Policy.ROUND_ROBIN:
--- a/src/cedarchute/scheduling/prefix_digests.py
+++ b/src/cedarchute/scheduling/prefix_digests.py
@@ -1,4 +1,4 @@
-"""Digests of the beginnings of a prompt, by which shared ones are recognised."""
+"""Digests of prompt prefixes, which identify prefixes shared between programs."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 
 def digest_prefixes(contents: Iterable[str]) -> tuple[bytes, ...]:
-    """Return a digest for each beginning of a prompt that ends with a whole chunk.
+    """Return the digest of each prefix of a prompt that ends at a chunk boundary.
 
-    Programs share a beginning as far as their digests agree, wherever in the first
-    messages it ends: a source text, a system prompt, a parent's history.
+    Two prompts share a prefix as far as their digests agree, whether it ends within
+    a message or not. Typical shared prefixes are system prompts, source texts and
+    the history of a parent program.
 
     Parameters
     ----------
@@ -28,7 +29,7 @@
     Returns
     -------
     tuple of bytes
-        At most `MAX_CHUNKS` digests, of 1, 2, 3, ... chunks.
+        At most `MAX_CHUNKS` digests, of the prefixes of 1, 2, 3, ... chunks.
     """
     digests = []
     state = hashlib.blake2b(digest_size=DIGEST_BYTES)
--- a/src/cedarchute/scheduling/prefix_entry.py
+++ b/src/cedarchute/scheduling/prefix_entry.py
@@ -1,4 +1,4 @@
-"""What is known of one beginning of prompts."""
+"""Index entry of one prompt prefix."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True)
 class PrefixEntry:
-    """Who used one beginning of prompts, and where.
+    """Programs and targets that used one prompt prefix.
 
     Attributes
     ----------
     program : str
-        The first program that was seen with it.
+        The first program that sent it.
     is_shared : bool
-        Whether another program was seen with it too.
+        Whether another program has sent it too.
     targets : dict of str to float
-        When each target last computed or used it, by the monotonic clock.
+        Monotonic time of the last use on each target, in seconds.
     """
 
     program: str
--- a/src/cedarchute/scheduling/prefix_index.py
+++ b/src/cedarchute/scheduling/prefix_index.py
@@ -1,4 +1,4 @@
-"""Remembers which targets hold which shared beginnings of prompts."""
+"""Index of shared prompt prefixes and the targets that have them cached."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class PrefixIndex:
-    """What this box has seen of shared beginnings; bounded, the oldest go first.
+    """Bounded LRU index of the prompt prefixes that this box has sent to targets.
 
-    Boxes do not tell each other. They agree without words: whoever knows a
-    beginning as shared ranks the targets by its first chunk alike, so programs with
-    the same beginning meet on the same target whichever box is their home.
+    Boxes do not exchange their indexes. Given the same targets, every box picks the
+    same affinity target for a prefix by rendezvous hashing of its first chunk, so
+    programs with a shared prefix run on one target whichever box is their home.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -32,7 +32,7 @@
         self.entries: OrderedDict[bytes, PrefixEntry] = OrderedDict()
 
     def note(self, digests: Sequence[bytes], program: str, target: str) -> None:
-        """Note that a program's prompt was sent to a target."""
+        """Record that a prompt of `program` was sent to `target`."""
         now = self.clock.monotonic()
         for digest in digests:
             entry = self.entries.get(digest)
@@ -46,7 +46,7 @@
             self.entries.popitem(last=False)
 
     def count_shared_tokens(self, digests: Sequence[bytes]) -> int:
-        """Return how long a beginning is that other programs were seen with."""
+        """Return the length in tokens of the longest shared prefix."""
         shared = 0
         for number, digest in enumerate(digests, start=1):
             entry = self.entries.get(digest)
@@ -56,7 +56,7 @@
         return shared * CHUNK_TOKENS
 
     def count_held_tokens(self, digests: Sequence[bytes], target: str) -> int:
-        """Return how much of a beginning a target is believed to hold."""
+        """Return the estimated number of prefix tokens in the cache of a target."""
         oldest = self.clock.monotonic() - ENTRY_TTL_SECONDS
         cached = 0
         for number, digest in enumerate(digests, start=1):
@@ -69,7 +69,7 @@
     def choose_affinity_target(
         self, digests: Sequence[bytes], targets: Sequence[TargetState]
     ) -> TargetState | None:
-        """Return the target on which programs with this beginning meet."""
+        """Return the affinity target of a prefix; None for a prompt without digests."""
         if not digests:
             return None
         first = digests[0].hex()
--- a/src/cedarchute/scheduling/program_aware.py
+++ b/src/cedarchute/scheduling/program_aware.py
@@ -1,4 +1,4 @@
-"""Weighs a target's queue against computing the program's prefix again."""
+"""Placement by expected delay: queueing against recomputation of cached tokens."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 DEFAULT_PREFILL_RATE: Final = 20_000.0
 DEFAULT_STEP_SECONDS: Final = 0.005
 DEFAULT_SLOTS: Final = 16
-# A token computed delays its own call and displaces a cached one.
+# Cost of a computed token: it delays its own call and evicts a cached token.
 EVICTION_FACTOR: Final = 2.0
-# What it counts on top for each request that waits for a slot.
+# Additional cost of a computed token for each waiting request per slot.
 BACKLOG_FACTOR: Final = 3.0
-# The way to another failure domain and back.
+# Round trip to another failure domain.
 CROSS_DOMAIN_RTT_SECONDS: Final = 0.002
-# Targets without cache that are compared.
+# Number of targets without cache that are sampled.
 MAX_UNCACHED_CANDIDATES: Final = 4
-# Later calls of a new program, of which nothing is known.
+# Assumed number of later calls of a new program.
 EXPECTED_LATER_CALLS: Final = 4.0
 MIN_TRANSFER_TOKENS: Final = 64
-# An export and an import, without the time of the tokens.
+# Fixed cost of a cache export and import, without the time per token.
 TRANSFER_OVERHEAD_SECONDS: Final = 0.05
-# Requests a slot above which a target counts as no more crowded.
+# Cap on the requests per slot in the estimate of later delays.
 MAX_OCCUPANCY: Final = 2.0
 
 
 class ProgramAware:
-    """Chooses the lowest expected delay, with waste counted as delay.
+    """Chooses the target with the lowest expected delay, recomputation included.
 
     Parameters
     ----------
     latency_weight : float
-        With 1, a token computed again counts twice: once for its delay, once for
-        the cached token that it displaces and that someone computes again. With
-        0 it counts four times, so that a program stays with its cache for longer.
-        While requests wait for slots, it counts for those that it holds up too.
+        Weight of latency against recomputation, from 0 to 1. With 1, a recomputed
+        token counts twice: for its own delay and for the cached token that it
+        evicts. With 0 it counts four times, so that programs stay with their cache
+        longer. It counts more while requests wait for slots, since it delays them.
     """
 
     def __init__(self, latency_weight: float, index: PrefixIndex, clock: Clock) -> None:
@@ -56,15 +56,15 @@
         targets: Sequence[TargetState],
         random_source: random.Random,
     ) -> TargetState:
-        """Return the best of the targets with cache and of some others by chance.
+        """Return the cheapest of the targets with cache and a sample of the others.
 
-        Many boxes see the same late reports. Comparing only a few targets chosen
-        by chance keeps them from all sending to the same one.
+        Many boxes see the same stale load reports. Sampling keeps them from all
+        sending to the same target (herding).
         """
         cached = {t.name: self.estimate_cached_tokens(request, t) for t in targets}
         affinity_target = self.index.choose_affinity_target(request.prefixes, targets)
         if affinity_target is not None:
-            # Programs of other boxes with the same beginning are sent there too.
+            # Other boxes send programs with the same prefix to this target too.
             shared = self.index.count_shared_tokens(request.prefixes)
             cached[affinity_target.name] = max(cached[affinity_target.name], shared)
         waste_factor = self.waste_factor + BACKLOG_FACTOR * measure_backlog(targets)
@@ -88,7 +88,7 @@
     def estimate_cached_tokens(
         self, request: PlacementRequest, target: TargetState
     ) -> int:
-        """Return how much of the prompt the target is believed to have cached."""
+        """Return the estimated number of prompt tokens in the cache of a target."""
         own = request.cached_tokens.get(target.name, 0)
         shared = self.index.count_held_tokens(request.prefixes, target.name)
         return min(max(own, shared), request.prompt_tokens)
@@ -101,16 +101,16 @@
         transferable_tokens: int,
         waste_factor: float,
     ) -> float:
-        """Return the seconds until the prompt is in the cache, and its waste.
+        """Return the cost of the prefill in seconds, weighted for recomputation.
 
         Parameters
         ----------
         cached_tokens : int
-            What the target is believed to have of the prompt.
+            Estimated number of prompt tokens that the target has cached.
         transferable_tokens : int
-            What some other target has, for this one to import.
+            Number of prompt tokens that this target could import from another one.
         waste_factor : float
-            How often a token computed again counts.
+            Weight of a recomputed token.
         """
         report = target.report
         rate = report.prefill_tokens_per_second if report else DEFAULT_PREFILL_RATE
@@ -129,10 +129,10 @@
     def compute_queue_cost(
         self, request: PlacementRequest, target: TargetState
     ) -> float:
-        """Return the expected seconds that the request waits at the target.
+        """Return the expected queueing delay of the request in seconds.
 
-        Only what goes before the request at the target counts as its queue: an
-        old program need not leave its cache because young ones wait there.
+        Only requests of the same or a higher priority count as queued ahead, so
+        newer programs do not drive an older one from its cache.
         """
         report = target.report
         rate = report.prefill_tokens_per_second if report else DEFAULT_PREFILL_RATE
@@ -156,28 +156,28 @@
         return queue + waiting + CROSS_DOMAIN_RTT_SECONDS * is_remote
 
     def estimate_later_waits(self, occupancy: float, slot_seconds: float) -> float:
-        """Return the expected waits of a program's later calls, in seconds.
+        """Return the expected queueing delay of later calls, in seconds.
 
-        A new program stays where its first call goes. What it saves there by a
-        shared beginning it saves once; a crowded engine costs it at each call.
+        A program tends to stay on the target of its first call. A shared prefix
+        saves time once, whereas a busy target delays every call.
 
         Parameters
         ----------
         occupancy : float
-            Requests at the target for each slot.
+            Requests at the target per slot.
         slot_seconds : float
-            Mean time until some slot is free when all are taken.
+            Mean time until a slot becomes free when all are in use.
         """
         return EXPECTED_LATER_CALLS * slot_seconds * min(occupancy, MAX_OCCUPANCY) ** 2
 
 
 def count_slots(target: TargetState) -> int:
-    """Return how many requests a target works on at once."""
+    """Return how many requests a target runs concurrently."""
     return target.report.max_running if target.report else DEFAULT_SLOTS
 
 
 def measure_backlog(targets: Sequence[TargetState]) -> float:
-    """Return how many requests wait for each slot of some targets."""
+    """Return the number of waiting requests per slot, over the given targets."""
     slots = sum(count_slots(target) for target in targets)
     waiting = sum(max(0, t.outstanding_requests - count_slots(t)) for t in targets)
     return waiting / slots
@@ -191,7 +191,7 @@
     Parameters
     ----------
     cached_tokens, transferable_tokens : int
-        What the target has of the prompt, and what another one has.
+        Prompt tokens cached on the target, and on the target to import from.
     """
     report = target.report
     if report is None or transferable_tokens - cached_tokens < MIN_TRANSFER_TOKENS:
--- a/src/cedarchute/scheduling/round_robin.py
+++ b/src/cedarchute/scheduling/round_robin.py
@@ -1,4 +1,4 @@
-"""Takes the targets in turn; a baseline."""
+"""Round-robin placement; a baseline policy."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RoundRobin:
-    """Each call goes to the next target."""
+    """Sends each call to the next target in turn."""
 
     def __init__(self) -> None:
         self.count = 0
--- a/src/cedarchute/scheduling/shared_holds.py
+++ b/src/cedarchute/scheduling/shared_holds.py
@@ -1,4 +1,4 @@
-"""Keeps shared beginnings of prompts in engines' caches past their programs' ends."""
+"""Pinning of shared prompt prefixes in the engines' caches."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 MIN_PREFIX_TOKENS: Final = 128
 LOWEST_PRIORITY: Final = 2**31 - 1
 REQUEST_TIMEOUT_SECONDS: Final = 10.0
-# A busy engine is not asked again with each call that ends there.
+# Minimum time between attempts to pin a prefix on a target after a failure.
 RETRY_SECONDS: Final = 5.0
 MAX_TRACKED_KEYS: Final = 4096
 
 
 class SharedHolds:
-    """Makes a shared beginning belong to a name of its own at an engine.
+    """Pins shared prefixes in an engine's cache under a cache key of their own.
 
-    An engine frees what only an ended program needs. Without a name of its own a
-    source text would be freed between two programs that read it, and computed
-    again. The name carries a span of time, so every box makes the same one without
-    asking another, and the sweep frees it when that span and the next are over,
-    whether or not the boxes that used it still run.
+    An engine frees cached tokens when the last program that uses them is released,
+    so a prefix would be recomputed when no two of its programs overlap. The key
+    contains the interval in which it was made and the digest of the prefix, so all
+    boxes derive the same key without coordination. The cache sweeper releases the
+    key at the end of the following interval, also when the box that made it is gone.
 
     Parameters
     ----------
     get_interval_seconds : callable
-        Returns the length of a span in seconds; 0 when nothing is to be held.
+        Returns the length of the interval in seconds; 0 disables pinning.
     """
 
     def __init__(
@@ -69,9 +69,9 @@
         prefixes: Sequence[bytes],
         read_messages: Callable[[], Sequence[ChatMessage]],
     ) -> None:
-        """Hold the shared beginning of a prompt that a target has just computed.
+        """Pin the shared prefix of a prompt that a target has just computed.
 
-        The messages are read only when it is not held yet.
+        The messages are read only when the prefix is not pinned yet.
         """
         seconds = self.get_interval_seconds()
         tokens = self.index.count_shared_tokens(prefixes)
@@ -82,7 +82,7 @@
         now = self.clock.monotonic()
         if now < self.not_before.get((target.name, key), now):
             return
-        # Once in its span; sooner only when it fails.
+        # Pinned once per interval; only a failure allows another attempt.
         self.not_before[(target.name, key)] = float("inf")
         if len(self.not_before) > MAX_TRACKED_KEYS:
             del self.not_before[next(iter(self.not_before))]
@@ -96,7 +96,7 @@
         key: str,
         prefix_messages: Sequence[ChatMessage],
     ) -> None:
-        """Ask for one token after the prefix_messages, under the name that holds it."""
+        """Generate one token after the prefix, under the cache key that pins it."""
         request = GenerateRequest(
             request_id=key,
             program=key,
@@ -112,7 +112,7 @@
                 pass
         except TargetError as error:
             self.metrics.count("shared.failed")
-            log.info("Shared beginning not held on %s: %s.", target.name, error)
+            log.info("Shared prefix not pinned on %s: %s.", target.name, error)
             retry_at = self.clock.monotonic() + RETRY_SECONDS
             self.not_before[(target.name, key)] = retry_at
             return
@@ -122,7 +122,7 @@
 def truncate_messages(
     messages: Sequence[ChatMessage], characters: int
 ) -> tuple[ChatMessage, ...]:
-    """Return the messages up to a number of characters, the last one cut there."""
+    """Return the messages up to a total length, with the last one truncated."""
     prefix_messages = []
     for message in messages:
         prefix_messages.append(
--- a/src/cedarchute/scheduling/shared_name.py
+++ b/src/cedarchute/scheduling/shared_name.py
@@ -1,4 +1,4 @@
-"""The names under which engines hold shared beginnings of prompts."""
+"""Cache keys of shared prompt prefixes that are pinned on engines."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 def make_pinned_prefix_key(now: float, seconds: float, digest: bytes) -> str:
-    """Return the name of a shared beginning for the span of time around `now`.
+    """Return the cache key of a shared prefix for the interval that contains `now`.
 
     Parameters
     ----------
     now : float
         Wall clock time, in seconds.
     seconds : float
-        Length of a span.
+        Length of the interval.
     """
     start = int(now // seconds * seconds)
     return f"{SHARED_PREFIX}.{start}.{int(seconds)}.{digest.hex()}"
 
 
 def is_shared_name(name: str) -> bool:
-    """Return whether `name` holds a shared beginning, and no program's cache."""
+    """Return whether `name` is the key of a pinned prefix, not a program's ID."""
     return name.startswith(f"{SHARED_PREFIX}.")
 
 
 def is_shared_name_over(name: str, now: float) -> bool:
-    """Return whether the span of a name and the one after it are over."""
+    """Return whether a key has expired; true for a malformed key."""
     parts = name.split(".")
     if len(parts) != 4 or not parts[1].isdigit() or not parts[2].isdigit():
         return True
--- a/src/cedarchute/scheduling/sticky.py
+++ b/src/cedarchute/scheduling/sticky.py
@@ -1,4 +1,4 @@
-"""Keeps each program on the target it started on; a baseline."""
+"""Sticky placement of programs; a baseline policy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Sticky:
-    """The first call goes to the least load, the others to the same target."""
+    """Sends the first call to the least loaded target, later calls to the same one."""
 
     def __init__(self) -> None:
         self.initial_policy = LeastLoad()
@@ -26,7 +26,7 @@
         targets: Sequence[TargetState],
         random_source: random.Random,
     ) -> TargetState:
-        """Return the target of the previous call if it may be used."""
+        """Return the target of the previous call if it is available."""
         for target in targets:
             if target.name == request.last_target:
                 return target
--- a/src/cedarchute/scheduling/target_book.py
+++ b/src/cedarchute/scheduling/target_book.py
@@ -1,4 +1,4 @@
-"""The targets that this box may use, and how they are doing."""
+"""Targets of the accepted file with their health and load."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from cedarchute.membership.box_ring import BoxRing
 from cedarchute.membership.rank import rank
-from cedarchute.operators.site_file import TargetState as WantedState
+from cedarchute.operators.site_file import TargetState as DesiredState
 from cedarchute.scheduling.target_state import TargetState
 
 if TYPE_CHECKING:
@@ -21,14 +21,15 @@
 
 
 class TargetBook:
-    """Follows the accepted file and the reports of targets.
+    """Tracks the targets of the accepted file, their health and their load reports.
 
     Parameters
     ----------
     box : str
-        The name of this box; it decides which share of a large set of targets
-        the box works with, so that neither polls nor connections grow with the
-        fleet.
+        Name of this box, which determines its subset of the targets.
+    subset : int
+        Minimum number of targets per service that the box uses. Subsetting keeps
+        polls and connections per box from growing with the fleet.
     """
 
     def __init__(
@@ -47,22 +48,23 @@
         self.platform_leaving: frozenset[str] = frozenset()
 
     def on_configuration(self, accepted: AcceptedFile) -> None:
-        """Take in an accepted file; what is known of kept targets stays."""
+        """Apply an accepted file; the state of unchanged targets is kept."""
         self.site = accepted.site
         self.assign_targets()
 
     def on_ring(self, ring: BoxRing) -> None:
-        """Take in which boxes there are."""
+        """Reassign targets when the membership of the ring has changed."""
         if ring.names != self.ring.names:
             self.ring = ring
             self.assign_targets()
 
     def assign_targets(self) -> None:
-        """Choose the targets that this box works with.
+        """Select the subset of targets that this box sends work to.
 
-        It takes a few of each service by rank, and those that the ring of boxes
-        gives to it, so that each target is some box's. Targets of other regions
-        serve only where its own has none.
+        For each service these are the first `subset` targets by rendezvous hashing,
+        and the targets that the ring assigns to this box, so that every target is
+        used by at least one box. Targets of other regions are used only when the
+        box's own region has none.
         """
         known_states = {**self.unassigned, **self.targets}
         self.targets = {}
@@ -90,10 +92,10 @@
                 self.unassigned[name] = update_state(known_states[name], name, section)
 
     def find(self, name: str) -> TargetState | None:
-        """Return any target of the accepted file.
+        """Return any target of the accepted file, or None.
 
-        One that other boxes work with is found too: a program that this box has
-        taken over may have its answer or its cache there.
+        Includes targets outside the subset of this box: a program that it has
+        taken over may have a stream or its cache on one.
         """
         state = self.targets.get(name) or self.unassigned.get(name)
         if state is not None or self.site is None or name not in self.site.targets:
@@ -102,7 +104,7 @@
         return state
 
     def usable(self, service: str, excluded: set[str]) -> list[TargetState]:
-        """Return the targets of `service` that may get new work now."""
+        """Return the targets of `service` that accept new requests now."""
         now = self.clock.monotonic()
         return [
             target
@@ -114,27 +116,27 @@
         ]
 
     def accepts_request(self, target: TargetState, now: float) -> bool:
-        """Return whether a target is sound, or due for one careful try."""
+        """Return whether a target is healthy, or due for a single probe request."""
         if target.failures == 0:
             return True
         return now >= target.backoff_until and not target.probing
 
     def on_sent(self, target: TargetState, tokens: int, priority: int = 0) -> None:
-        """Note a request that goes to `target`, with `tokens` to compute."""
+        """Record a request sent to `target`, with `tokens` to compute."""
         target.in_flight += 1
         target.priorities.append(priority)
         target.tokens_sent_since_report += tokens
         target.probing = target.failures > 0
 
     def on_done(self, target: TargetState, priority: int = 0) -> None:
-        """Note that a request to `target` ended well."""
+        """Record a successful request and reset the failure count."""
         target.in_flight -= 1
         target.priorities.remove(priority)
         target.failures = 0
         target.probing = False
 
     def on_failed(self, target: TargetState, reason: str, priority: int = 0) -> None:
-        """Note a failure; the target rests, unless it was only busy."""
+        """Record a failure; back off unless the target was busy or refused it."""
         target.in_flight -= 1
         target.priorities.remove(priority)
         target.probing = False
@@ -143,14 +145,14 @@
         self.rest(target)
 
     def rest(self, target: TargetState) -> None:
-        """Leave a target alone for a while; for twice as long each time."""
+        """Suspend requests to a target, with exponential backoff."""
         target.failures += 1
         backoff = min(BACKOFF_BASE_SECONDS * 2**target.failures, MAX_BACKOFF_SECONDS)
         target.backoff_until = self.clock.monotonic() + backoff
         self.metrics.count("targets.rested")
 
     def on_report(self, target: TargetState, report: LoadReport) -> None:
-        """Take in a load report; corrections start again from it."""
+        """Store a load report and restart the counts kept since the last one."""
         target.report = report
         target.reported_at = self.clock.monotonic()
         target.in_flight_at_report = target.in_flight
@@ -160,7 +162,7 @@
 def update_state(
     state: TargetState | None, name: str, section: TargetSection
 ) -> TargetState:
-    """Return what is known of a target, or a new state when its address changed."""
+    """Return the updated state of a target, or a new one if its address changed."""
     if state is None or state.section.address != section.address:
         return TargetState(name, section)
     state.section = section
@@ -168,6 +170,6 @@
 
 
 def is_leaving(target: TargetState) -> bool:
-    """Return whether operators or the target itself say that it is leaving."""
+    """Return whether the accepted file or the load report marks a target as leaving."""
     reported = target.report is not None and target.report.leaving
-    return reported or target.section.state is WantedState.LEAVING
+    return reported or target.section.state is DesiredState.LEAVING
--- a/src/cedarchute/scheduling/target_state.py
+++ b/src/cedarchute/scheduling/target_state.py
@@ -1,4 +1,4 @@
-"""What this box knows of one target."""
+"""Load and health of one target, as seen by this box."""
 
 from __future__ import annotations
 
@@ -14,22 +14,26 @@
 
 @dataclass
 class TargetState:
-    """A target, its last load report and what this box did since.
+    """A target, its last load report, and the requests of this box.
 
     Attributes
     ----------
     in_flight : int
-        Requests of this box that are at the target now.
+        Requests of this box that are running or queued at the target.
     in_flight_at_report : int
-        The same at the time of the last report.
+        `in_flight` at the time of the last report.
     tokens_sent_since_report : int
-        Input tokens that this box sent after the last report.
+        Input tokens that this box has sent since the last report.
     priorities : list of int
-        Those of the requests of this box that are at the target now.
-    mean_answer_tokens : float
-        Mean length of the answers that this box had from it lately.
+        Priorities of the requests in flight.
+    mean_answer_tokens : float or None
+        Moving average of the answer length; None before the first answer.
     uncached_fraction : float
-        Share of the prompts' tokens that it had to compute lately.
+        Moving average of the fraction of prompt tokens not found in the cache.
+    backoff_until : float
+        Monotonic time before which a failed target gets no request, in seconds.
+    probing : bool
+        Whether a probe request is in flight after a backoff.
     """
 
     name: str
@@ -48,10 +52,10 @@
 
     @property
     def outstanding_requests(self) -> int:
-        """Requests at the target as far as this box can tell.
+        """Estimated number of requests at the target, running and queued.
 
-        Its own part is known exactly; only that of other boxes is as late as the
-        report.
+        The requests of this box are counted exactly, those of other boxes come
+        from the last report.
         """
         if self.report is None:
             return self.in_flight
@@ -59,9 +63,10 @@
         return self.in_flight + max(0, reported - self.in_flight_at_report)
 
     def estimate_fraction_ahead(self, priority: int) -> float:
-        """Return which share of the target's requests goes before a priority.
+        """Return the estimated fraction of requests that go before `priority`.
 
-        The requests of this box stand for those of the others, which it cannot see.
+        Extrapolates from the requests of this box; those of other boxes are not
+        visible to it.
         """
         if not self.priorities:
             return 0.5
@@ -69,7 +74,7 @@
         return ahead / len(self.priorities)
 
     def learn(self, prompt_tokens: int, cached_tokens: int, answer_tokens: int) -> None:
-        """Take the counts of a finished answer into the means."""
+        """Update the moving averages with a completed answer."""
         uncached = 1.0 - cached_tokens / prompt_tokens if prompt_tokens else 1.0
         self.uncached_fraction += SMOOTHING_FACTOR * (uncached - self.uncached_fraction)
         mean = self.mean_answer_tokens
@@ -79,9 +84,9 @@
             self.mean_answer_tokens = mean + SMOOTHING_FACTOR * (answer_tokens - mean)
 
     def estimate_pending_tokens(self, now: float) -> float:
-        """Return the input tokens that the target has yet to compute.
+        """Return the estimated number of input tokens that wait for prefill.
 
-        What was reported and what was sent since drains at the target's rate.
+        Reported tokens and tokens sent since then drain at the reported rate.
         """
         if self.report is None:
             return float(self.tokens_sent_since_report)
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -58,7 +58,7 @@
 
 def test_the_weight_moves_the_point_at_which_a_program_leaves():
     busy = make_target(0, running=8, waiting=1, waiting_tokens=9_000)
-    # All that is there goes before the request.
+    # All requests at the target go before the new one.
     busy.priorities = [0] * 9
     request = make_request(cached_tokens={"t0": 3900})
 
@@ -117,10 +117,10 @@
 def test_programs_that_share_a_beginning_meet_whichever_box_is_their_home():
     text = "chapter " * 400
     targets = [make_target(n) for n in range(6)]
-    met = set()
+    chosen = set()
     for box in range(5):
         index = PrefixIndex(StillClock())
-        # This box has seen two programs with the text, on targets of its own.
+        # This box has sent two programs with the text to its own target.
         for number in range(2):
             digests = digest_prefixes([f"{text}question {number} of {box}"])
             index.note(digests, f"p{number}", f"t{box}")
@@ -128,10 +128,12 @@
         request = make_request(prompt_tokens=820, prefixes=prefixes)
         busy = [make_target(n, running=8) if n == box else targets[n] for n in range(6)]
         policy = make_policy(0.0, index)
-        met.add(policy.choose(request, busy, random.Random(box)).name)
-    assert len(met - {f"t{box}" for box in range(5)}) <= 1
-    meeting = PrefixIndex(StillClock()).choose_affinity_target(prefixes, targets)
-    assert meeting.name in met
+        chosen.add(policy.choose(request, busy, random.Random(box)).name)
+    assert len(chosen - {f"t{box}" for box in range(5)}) <= 1
+    affinity_target = PrefixIndex(StillClock()).choose_affinity_target(
+        prefixes, targets
+    )
+    assert affinity_target.name in chosen
 
 
 def test_a_shared_beginning_is_worth_less_than_a_long_queue():
@@ -188,15 +190,17 @@
     request = make_request(prompt_tokens=200, prefixes=prefixes)
     policy = make_policy(1.0, index)
     targets = [make_target(0), make_target(1)]
-    meeting = index.choose_affinity_target(prefixes, targets)
-    (other,) = (target for target in targets if target is not meeting)
+    affinity_target = index.choose_affinity_target(prefixes, targets)
+    (other,) = (target for target in targets if target is not affinity_target)
 
     def choose(running):
-        meeting.report = meeting.report.model_copy(update={"running": running})
+        affinity_target.report = affinity_target.report.model_copy(
+            update={"running": running}
+        )
         return policy.choose(request, targets, random.Random(1))
 
     other.report = other.report.model_copy(update={"running": 1})
-    assert choose(2) is meeting
+    assert choose(2) is affinity_target
     assert choose(8) is other
 
 
--- a/tests/scheduling/test_prefix_index.py
+++ b/tests/scheduling/test_prefix_index.py
@@ -11,19 +11,19 @@
 )
 from cedarchute.scheduling.prefix_index import ENTRY_TTL_SECONDS, PrefixIndex
 
-SHARED = "s" * (3 * CHUNK_CHARACTERS)
+SHARED_TEXT = "s" * (3 * CHUNK_CHARACTERS)
 
 
 def test_digests_agree_as_far_as_the_texts_do():
-    first = digest_prefixes([SHARED + "a" * 500])
-    second = digest_prefixes([SHARED + "b" * 500])
+    first = digest_prefixes([SHARED_TEXT + "a" * 500])
+    second = digest_prefixes([SHARED_TEXT + "b" * 500])
     assert first[:3] == second[:3]
     assert first[3] != second[3]
 
 
 def test_digests_do_not_depend_on_where_a_later_message_begins():
-    whole = digest_prefixes([SHARED + "\n" + "q" * 300])
-    assert digest_prefixes([SHARED, "q" * 300]) == whole
+    whole = digest_prefixes([SHARED_TEXT + "\n" + "q" * 300])
+    assert digest_prefixes([SHARED_TEXT, "q" * 300]) == whole
 
 
 def test_a_long_prompt_has_a_bounded_number_of_digests():
@@ -33,18 +33,18 @@
 
 def test_what_one_program_alone_has_is_not_shared():
     index = PrefixIndex(StillClock())
-    digests = digest_prefixes([SHARED + "a" * 500])
+    digests = digest_prefixes([SHARED_TEXT + "a" * 500])
     index.note(digests, "p1", "t0")
     index.note(digests, "p1", "t1")
     assert index.count_shared_tokens(digests) == 0
-    index.note(digest_prefixes([SHARED + "b" * 500]), "p2", "t0")
+    index.note(digest_prefixes([SHARED_TEXT + "b" * 500]), "p2", "t0")
     assert index.count_shared_tokens(digests) == 3 * CHUNK_TOKENS
 
 
 def test_a_target_is_believed_to_hold_a_beginning_for_a_while():
     clock = StillClock()
     index = PrefixIndex(clock)
-    digests = digest_prefixes([SHARED])
+    digests = digest_prefixes([SHARED_TEXT])
     index.note(digests, "p1", "t0")
     assert index.count_held_tokens(digests, "t0") == 3 * CHUNK_TOKENS
     assert index.count_held_tokens(digests, "t1") == 0
--- a/tests/scheduling/test_shared_holds.py
+++ b/tests/scheduling/test_shared_holds.py
@@ -18,38 +18,38 @@
 from cedarchute.targets.target_error import TargetError
 from cedarchute.verdict import Verdict
 
-SHARED = "chapter " * 100
+SHARED_TEXT = "chapter " * 100
 TARGET = TargetState(
     "t0",
     TargetSection(service="s", address="127.0.0.1:9000", failure_domain="a"),
 )
 
 
-class Engines:
-    """Notes what is asked for; refuses as long as it is busy."""
+class FakeEngineClient:
+    """Fake engine client that records requests and fails while it is busy."""
 
     def __init__(self):
-        self.asked = []
+        self.requests = []
         self.is_busy = False
 
     def generate(self, address, request, seconds):
         if self.is_busy:
             raise TargetError("target_busy", "503", Verdict.NOT_RUN)
-        self.asked.append(request)
+        self.requests.append(request)
         yield from ()
 
 
-class World:
+class Harness:
     def __init__(self, seconds=30):
         self.clock = StillClock()
-        self.engines = Engines()
+        self.engines = FakeEngineClient()
         self.index = PrefixIndex(self.clock)
         self.metrics = Metrics()
         self.holds = SharedHolds(
             self.engines, self.index, lambda: seconds, self.clock, self.metrics
         )
 
-    def finish(self, program, text=SHARED):
+    def finish_call(self, program, text=SHARED_TEXT):
         messages = [ChatMessage(role="user", content=f"{text}{program}" * 3)]
         prefixes = digest_prefixes(m.content for m in messages)
         self.index.note(prefixes, program, "t0")
@@ -58,62 +58,62 @@
 
 
 def test_what_programs_share_is_held_once_in_a_span():
-    world = World()
-    world.finish("p1")
-    assert world.engines.asked == []
+    harness = Harness()
+    harness.finish_call("p1")
+    assert harness.engines.requests == []
     for program in ("p2", "p3", "p4"):
-        world.finish(program)
-    (request,) = world.engines.asked
+        harness.finish_call(program)
+    (request,) = harness.engines.requests
     assert is_shared_name(request.program)
     assert request.max_tokens == 1
-    assert len(request.messages[0].content) <= len(SHARED)
-    assert SHARED.startswith(request.messages[0].content)
-    world.clock.now += 30
-    world.finish("p5")
-    assert len(world.engines.asked) == 2
+    assert len(request.messages[0].content) <= len(SHARED_TEXT)
+    assert SHARED_TEXT.startswith(request.messages[0].content)
+    harness.clock.now += 30
+    harness.finish_call("p5")
+    assert len(harness.engines.requests) == 2
 
 
 def test_boxes_make_the_same_name_without_a_word():
     names = set()
     for box in range(3):
-        world = World()
-        world.finish(f"a{box}")
-        world.finish(f"b{box}")
-        names.update(request.program for request in world.engines.asked)
+        harness = Harness()
+        harness.finish_call(f"a{box}")
+        harness.finish_call(f"b{box}")
+        names.update(request.program for request in harness.engines.requests)
     assert len(names) == 1
 
 
 def test_a_hold_that_failed_is_tried_again_but_not_with_each_call():
-    world = World()
-    world.engines.is_busy = True
+    harness = Harness()
+    harness.engines.is_busy = True
     for program in ("p1", "p2", "p3", "p4"):
-        world.finish(program)
-    assert world.metrics.totals["shared.failed"] == 1
-    world.engines.is_busy = False
-    world.clock.now += RETRY_SECONDS
-    world.finish("p5")
-    assert len(world.engines.asked) == 1
+        harness.finish_call(program)
+    assert harness.metrics.totals["shared.failed"] == 1
+    harness.engines.is_busy = False
+    harness.clock.now += RETRY_SECONDS
+    harness.finish_call("p5")
+    assert len(harness.engines.requests) == 1
 
 
 def test_short_beginnings_are_not_held_and_zero_holds_nothing():
-    world = World()
+    harness = Harness()
     for program in ("p1", "p2", "p3"):
-        world.finish(program, text="short ")
-    assert world.engines.asked == []
-    world = World(seconds=0)
+        harness.finish_call(program, text="short ")
+    assert harness.engines.requests == []
+    harness = Harness(seconds=0)
     for program in ("p1", "p2", "p3"):
-        world.finish(program)
-    assert world.engines.asked == []
+        harness.finish_call(program)
+    assert harness.engines.requests == []
 
 
 def test_a_name_is_over_after_the_span_and_the_next():
-    world = World()
-    world.finish("p1")
-    world.finish("p2")
-    name = world.engines.asked[0].program
-    assert not is_shared_name_over(name, world.clock.now + 29)
-    assert is_shared_name_over(name, world.clock.now + 61)
-    assert is_shared_name_over("shared.nonsense", world.clock.now)
+    harness = Harness()
+    harness.finish_call("p1")
+    harness.finish_call("p2")
+    name = harness.engines.requests[0].program
+    assert not is_shared_name_over(name, harness.clock.now + 29)
+    assert is_shared_name_over(name, harness.clock.now + 61)
+    assert is_shared_name_over("shared.nonsense", harness.clock.now)
 
 
 def test_messages_are_cut_at_a_number_of_characters():
@@ -121,6 +121,6 @@
         ChatMessage(role="system", content="abc"),
         ChatMessage(role="user", content="defgh"),
     ]
-    cut = truncate_messages(messages, 6)
-    assert [m.content for m in cut] == ["abc", "de"]
-    assert [m.role for m in cut] == ["system", "user"]
+    truncated = truncate_messages(messages, 6)
+    assert [m.content for m in truncated] == ["abc", "de"]
+    assert [m.role for m in truncated] == ["system", "user"]
--- a/tests/scheduling/test_target_book.py
+++ b/tests/scheduling/test_target_book.py
@@ -67,6 +67,6 @@
     book.on_ring(BoxRing(["b0", "b1"]))
     assert {target.section.region for target in book.targets.values()} == {"r1"}
     assert len(book.targets) >= 5
-    far = TargetBook("b0", "r9", 5, StillClock(), Metrics())
-    far.on_configuration(make_file(40, regions=4))
-    assert len(far.targets) == 5
+    remote = TargetBook("b0", "r9", 5, StillClock(), Metrics())
+    remote.on_configuration(make_file(40, regions=4))
+    assert len(remote.targets) == 5
