--- a/src/cedarchute/targets/__init__.py
+++ b/src/cedarchute/targets/__init__.py
@@ -1,1 +1,1 @@
-"""What stands behind the system: model engines, plain services and tools."""
+"""Clients of the targets: model engines, plain services and tools."""
--- a/src/cedarchute/targets/engine_client.py
+++ b/src/cedarchute/targets/engine_client.py
@@ -1,4 +1,4 @@
-"""Speaks the chat-completions form with model engines."""
+"""HTTP client of the model engines (chat-completions format)."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 CONNECT_TIMEOUT_SECONDS: Final = 2.0
 CONTROL_TIMEOUT_SECONDS: Final = 3.0
-# A call waits for a move, and can do without it.
+# Short because a call waits for the transfer and can do without it.
 CACHE_TRANSFER_TIMEOUT_SECONDS: Final = 1.0
 MAX_CONNECTIONS: Final = 64
 MAX_CONTROL_CONNECTIONS: Final = 4
@@ -40,7 +40,7 @@
 
 
 class EngineClient:
-    """Generates, resumes, cancels and releases on one engine at a time."""
+    """Sends generation and control requests to engines."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
@@ -50,12 +50,12 @@
     def generate(
         self, address: Address, request: GenerateRequest, timeout_seconds: float
     ) -> Iterator[StreamPiece | StreamEnd]:
-        """Start an answer and yield its pieces, the end last.
+        """Start an answer and yield its chunks, followed by the end.
 
         Raises
         ------
         TargetError
-            With ``not run`` only when the engine surely did not start.
+            With verdict ``NOT_RUN`` only when the engine cannot have started.
         """
         path = "/v1/chat/completions"
         response = self._open_stream(
@@ -66,7 +66,7 @@
     def resume(
         self, address: Address, request_id: str, offset: int, timeout_seconds: float
     ) -> Iterator[StreamPiece | StreamEnd]:
-        """Continue an answer at `offset` characters.
+        """Resume a stream at an offset in characters.
 
         Raises
         ------
@@ -78,29 +78,29 @@
         yield from self._read_events(response)
 
     def cancel(self, address: Address, request_id: str) -> None:
-        """Stop an answer; raise `TargetError` when the engine did not confirm."""
+        """Cancel a stream; raise `TargetError` if the engine does not confirm."""
         self._send_control_request("DELETE", address, f"/v1/streams/{request_id}")
 
     def release(self, address: Address, program: str) -> None:
-        """Free the cache of `program`; raise `TargetError` when unconfirmed."""
+        """Free the cache of `program`; raise `TargetError` if unconfirmed."""
         body = {"program": program}
         self._send_control_request("POST", address, "/cache/release", body)
 
     def export_cache(self, address: Address, program: str) -> dict[str, Any]:
-        """Return what an engine has cached of `program`, for another one to take."""
+        """Return the cache of `program`, for import by another engine."""
         body = {"program": program}
         return self._send_control_request(
             "POST", address, "/cache/export", body, CACHE_TRANSFER_TIMEOUT_SECONDS
         )
 
     def import_cache(self, address: Address, exported: dict[str, Any]) -> None:
-        """Give an engine what another one has exported."""
+        """Import the cache that another engine has exported."""
         self._send_control_request(
             "POST", address, "/cache/import", exported, CACHE_TRANSFER_TIMEOUT_SECONDS
         )
 
     def read_held(self, address: Address) -> list[str]:
-        """Return the programs that the engine holds cache for."""
+        """Return the IDs of the programs that have cache on the engine."""
         return list(
             self._send_control_request("GET", address, "/cache/held")["programs"]
         )
@@ -114,11 +114,11 @@
             raise TargetError("bad_report", str(error), Verdict.NOT_RUN) from error
 
     def read_state(self, address: Address) -> dict[str, Any]:
-        """Return the model, version and fence of an engine."""
+        """Return the model, version and fencing token of an engine."""
         return self._send_control_request("GET", address, "/state")
 
     def order(self, address: Address, order: dict[str, object]) -> dict[str, Any]:
-        """Give an order; raise `TargetError` when it was refused or unanswered."""
+        """Send a command; raise `TargetError` if it is refused or unanswered."""
         return self._send_control_request("POST", address, "/orders", order)
 
     def _open_stream(
@@ -206,10 +206,10 @@
 
 
 def parse_events(data: bytes) -> Iterator[StreamPiece | StreamEnd]:
-    """Yield what some whole events say; the texts joined to one piece.
+    """Parse complete server-sent events; join their texts into one chunk.
 
-    An engine sends one event for each token. Joining those that arrived together
-    saves the cost of handling each by itself.
+    An engine sends one event per token. Joining those that arrive together reduces
+    the overhead per token.
     """
     texts = []
     tokens = 0
--- a/src/cedarchute/targets/generate_request.py
+++ b/src/cedarchute/targets/generate_request.py
@@ -1,4 +1,4 @@
-"""What an engine is asked to generate."""
+"""Generation request to an engine."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True)
 class GenerateRequest:
-    """One answer asked of an engine, in the chat-completions form.
+    """One chat-completions request.
 
-    `priority` is lower for what goes first.
+    Engines serve lower values of `priority` first.
     """
 
     request_id: str
@@ -27,7 +27,7 @@
     priority: int
 
     def to_bytes(self) -> bytes:
-        """Return the body of the request."""
+        """Return the JSON body of the request."""
         return json.dumps(
             {
                 "request_id": self.request_id,
--- a/src/cedarchute/targets/load_report.py
+++ b/src/cedarchute/targets/load_report.py
@@ -1,4 +1,4 @@
-"""What an engine says of its load; late, and seen by many boxes."""
+"""Load report of an engine."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class LoadReport(BaseModel):
-    """The load of an engine some moments ago.
+    """Load of an engine at the time of the poll.
 
-    `import_tokens_per_second` is how fast it takes in cache that another engine
-    has exported; 0 when it cannot.
+    `import_tokens_per_second` is the rate at which the engine imports cache that
+    another engine has exported; 0 if it does not support that.
     """
 
     model_config = ConfigDict(extra="ignore", frozen=True)
--- a/src/cedarchute/targets/orders/__init__.py
+++ b/src/cedarchute/targets/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines: which model and version they serve."""
+"""Reconciliation of the models and versions that engines serve."""
--- a/src/cedarchute/targets/orders/command_lease.py
+++ b/src/cedarchute/targets/orders/command_lease.py
@@ -1,4 +1,4 @@
-"""The right to order one target for a short while, under a fencing number."""
+"""Lease on sending commands to one target, with a fencing token."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class CommandLease(Message):
-    """The store's record of who may order a target.
+    """Record in the store of the box that may send commands to a target.
 
-    `fence` goes up with each term. A target that checks it refuses the orders of
-    earlier terms.
+    `fence` is the fencing token and increases with each lease. A target that checks
+    it rejects commands of earlier leases.
     """
 
     target: str
--- a/src/cedarchute/targets/orders/order_keeper.py
+++ b/src/cedarchute/targets/orders/order_keeper.py
@@ -1,4 +1,4 @@
-"""Brings engines to the model and version that the accepted file names."""
+"""Reconciles engines with the model and version that the accepted file names."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class OrderKeeper:
-    """Compares what engines serve with what they should, and orders the rest.
-
-    Only `loads_at_once` boxes order, each one target at a time: that bounds what
-    the weight store has to give, without asking anyone. A term lasts `LEASE_SECONDS`
-    from before its compare-and-swap; its holder stops `LEASE_MARGIN_SECONDS` before
-    the end, which covers pauses and clock rates, because not every target checks
-    the fence. Another box takes the next term only after it has seen the same one
-    in the store for the whole time.
+    """Sends commands to engines that do not serve the desired model.
+
+    Only `loads_at_once` boxes reconcile, each one target at a time, which bounds
+    the load on the weight store without coordination. A lease lasts `LEASE_SECONDS`,
+    counted from before its compare-and-swap. Not every target checks the fencing
+    token, so the holder stops `LEASE_MARGIN_SECONDS` before the lease expires, to
+    allow for pauses and clock drift. Another box acquires the next lease only
+    after it has seen the same lease in the store for `LEASE_SECONDS`.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.operations = itertools.count(1)
 
     def order_forever(self) -> None:
-        """Look after this box's share of the targets in each period."""
+        """Reconcile this box's share of the targets in each interval."""
         while True:
             eventlet.sleep(self.interval_seconds)
             site = self.configuration.site
@@ -84,19 +84,19 @@
                     self.reconcile(name, target, service)
 
     def select_reconcilers(self, count: int) -> list[str]:
-        """Return the boxes that order; every box computes the same ones."""
+        """Return the boxes that reconcile; every box computes the same ones."""
         names = [box.name for box in self.view.entries]
         return sorted(names, key=lambda name: rank("orders", name))[:count]
 
     def is_assigned(self, target: str, reconcilers: list[str]) -> bool:
-        """Return whether this box orders `target`, of those that order."""
+        """Return whether `target` is assigned to this box by rendezvous hashing."""
         chosen = max(reconcilers, key=lambda name: rank(name, target))
         return chosen == self.keeper.record.name
 
     def reconcile(
         self, name: str, target: TargetSection, service: ServiceSection
     ) -> None:
-        """Order one target if it does not serve what it should."""
+        """Send a command to one target if its state differs from the desired one."""
         desired = {
             "model": service.model,
             "version": service.version or "",
@@ -108,25 +108,25 @@
             self.issue_command(name, target, desired)
         except TargetError as error:
             self.metrics.count_retry("order")
-            log.info("Order to %s: %s.", name, error)
+            log.info("Command to %s failed: %s.", name, error)
         except StoreUnavailableError:
             self.metrics.count_retry("order_store")
 
     def is_up_to_date(self, target: TargetSection, desired: dict[str, object]) -> bool:
-        """Return whether a target serves what it should."""
+        """Return whether the state of a target matches the desired one."""
         state = self.engines.read_state(target.address)
         return all(state.get(key) == value for key, value in desired.items())
 
     def issue_command(
         self, name: str, target: TargetSection, desired: dict[str, object]
     ) -> None:
-        """Take a term and give one order within it."""
+        """Acquire a lease and send one command under it."""
         started = self.clock.monotonic()
         lease = self.acquire_lease(name)
         if lease is None:
             return
-        # The state is read again within the lease: an earlier holder's order may
-        # have arrived meanwhile.
+        # Read the state again under the lease: a command of the previous holder may
+        # have been applied in the meantime.
         if self.is_up_to_date(target, desired):
             return
         if self.clock.monotonic() - started > LEASE_SECONDS - LEASE_MARGIN_SECONDS:
@@ -134,10 +134,15 @@
             return
         self.engines.order(target.address, {**desired, "fence": lease.fence})
         self.metrics.count("orders.given")
-        log.info("Ordered %s to serve %s under %d.", name, desired, lease.fence)
+        log.info(
+            "Sent %s the command to serve %s with fencing token %d.",
+            name,
+            desired,
+            lease.fence,
+        )
 
     def acquire_lease(self, target: str) -> CommandLease | None:
-        """Take the next term for a target, if the last one is surely over."""
+        """Acquire the next lease on a target; None if another box may hold it."""
         key = self.keys.order(target)
         entry = self.store.get(key)
         last = CommandLease.model_validate_json(entry.value) if entry else None
@@ -153,7 +158,7 @@
         return lease if result.won else None
 
     def is_expired(self, lease: CommandLease) -> bool:
-        """Return whether the holder of a term has stopped using it."""
+        """Return whether a lease has expired, or is held by this box."""
         if lease.holder == self.keeper.record.identity:
             return True
         now = self.clock.monotonic()
--- a/src/cedarchute/targets/service_client.py
+++ b/src/cedarchute/targets/service_client.py
@@ -1,4 +1,4 @@
-"""Calls plain services and tools."""
+"""HTTP client of plain services and tools."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ServiceClient:
-    """Posts one JSON body and returns the answer's text."""
+    """Posts a JSON body and returns the text of the response."""
 
     def __init__(self) -> None:
         self.pools = HostPools(MAX_CONNECTIONS, MAX_HOSTS)
@@ -31,12 +31,12 @@
         body: str,
         timeout_seconds: float,
     ) -> str:
-        """Call the service once.
+        """Send one request to the service.
 
         Raises
         ------
         TargetError
-            With the verdict that the failure allows.
+            With a verdict that tells whether the request may have run.
         """
         headers = {
             "content-type": "application/json",
--- a/src/cedarchute/targets/stream_piece.py
+++ b/src/cedarchute/targets/stream_piece.py
@@ -1,4 +1,4 @@
-"""Pieces of an answer as an engine streams it."""
+"""Chunks and end of a streamed answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class StreamPiece:
-    """Some text, made of `tokens` tokens."""
+    """A chunk of text, which consists of `tokens` tokens."""
 
     text: str
     tokens: int
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class StreamEnd:
-    """The end of an answer and what it cost, in tokens."""
+    """End of an answer, with its token usage."""
 
     finish_reason: str
     prompt_tokens: int
--- a/src/cedarchute/targets/target_error.py
+++ b/src/cedarchute/targets/target_error.py
@@ -1,4 +1,4 @@
-"""A target that failed, with what is known about the request."""
+"""Errors of requests to targets."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 
 def make_transport_error(error: Exception) -> TargetError:
-    """Return what a failed exchange says about the request.
+    """Return the error and verdict for a failed HTTP exchange.
 
-    Only a connection that was never made proves that nothing ran.
+    The verdict is ``NOT_RUN`` only if no connection was established.
     """
     never_sent = is_refused(error) or isinstance(
         error,
@@ -49,7 +49,7 @@
 
 
 def make_status_error(response: BaseHTTPResponse) -> TargetError:
-    """Return what an error status says about the request."""
+    """Return the error and verdict for an HTTP error status."""
     retry_after = response.headers.get("retry-after")
     seconds = float(retry_after) if retry_after else None
     detail = f"status {response.status}"
--- a/tests/targets/test_order_keeper.py
+++ b/tests/targets/test_order_keeper.py
@@ -19,12 +19,12 @@
 SERVICE = ServiceSection(kind="model", model="small", version="2")
 
 
-class Engine:
-    """An engine that ignores the fence."""
+class FakeEngine:
+    """Fake engine that ignores the fencing token."""
 
     def __init__(self):
         self.state = {"model": "small", "version": "1", "adapters": []}
-        self.orders = []
+        self.commands = []
         self.on_read = None
 
     def read_state(self, address):
@@ -33,17 +33,17 @@
         return self.state
 
     def order(self, address, order):
-        self.orders.append(order)
+        self.commands.append(order)
         self.state = {k: v for k, v in order.items() if k != "fence"}
 
 
-class Site:
-    """Two boxes that may order the same engine."""
+class Cluster:
+    """Two boxes that reconcile the same engine."""
 
     def __init__(self):
         self.clock = StillClock()
         self.store = FakeStore()
-        self.engine = Engine()
+        self.engine = FakeEngine()
         self.first = self.make_keeper(1)
         self.second = self.make_keeper(2)
 
@@ -74,41 +74,41 @@
 
 
 @pytest.fixture
-def site():
-    return Site()
+def cluster():
+    return Cluster()
 
 
-def test_an_engine_is_ordered_once_under_a_fence(site):
-    site.first.reconcile("one", TARGET, SERVICE)
-    site.first.reconcile("one", TARGET, SERVICE)
-    assert [order["fence"] for order in site.engine.orders] == [1]
-    assert site.engine.state["version"] == "2"
+def test_an_engine_is_ordered_once_under_a_fence(cluster):
+    cluster.first.reconcile("one", TARGET, SERVICE)
+    cluster.first.reconcile("one", TARGET, SERVICE)
+    assert [command["fence"] for command in cluster.engine.commands] == [1]
+    assert cluster.engine.state["version"] == "2"
 
 
-def test_a_holder_that_was_paused_in_its_term_gives_no_order(site):
+def test_a_holder_that_was_paused_in_its_term_gives_no_order(cluster):
     def pause():
-        site.clock.now += LEASE_SECONDS
-
-    site.engine.on_read = pause
-    site.first.reconcile("one", TARGET, SERVICE)
-    assert site.engine.orders == []
-    site.engine.on_read = None
-    site.first.reconcile("one", TARGET, SERVICE)
-    assert site.engine.orders[0]["fence"] == 2
-
-
-def test_another_box_orders_only_after_the_term_is_over(site):
-    site.first.acquire_lease("one")
-    site.second.reconcile("one", TARGET, SERVICE)
-    assert site.engine.orders == []
-    site.clock.now += LEASE_SECONDS + 1
-    site.second.reconcile("one", TARGET, SERVICE)
-    assert site.engine.orders[0]["fence"] == 2
-
-
-def test_a_term_whose_reply_was_lost_is_nobodys(site):
-    site.store.lost_replies = 1
-    site.first.reconcile("one", TARGET, SERVICE)
-    assert site.engine.orders == []
-    site.first.reconcile("one", TARGET, SERVICE)
-    assert site.engine.orders[0]["fence"] == 2
+        cluster.clock.now += LEASE_SECONDS
+
+    cluster.engine.on_read = pause
+    cluster.first.reconcile("one", TARGET, SERVICE)
+    assert cluster.engine.commands == []
+    cluster.engine.on_read = None
+    cluster.first.reconcile("one", TARGET, SERVICE)
+    assert cluster.engine.commands[0]["fence"] == 2
+
+
+def test_another_box_orders_only_after_the_term_is_over(cluster):
+    cluster.first.acquire_lease("one")
+    cluster.second.reconcile("one", TARGET, SERVICE)
+    assert cluster.engine.commands == []
+    cluster.clock.now += LEASE_SECONDS + 1
+    cluster.second.reconcile("one", TARGET, SERVICE)
+    assert cluster.engine.commands[0]["fence"] == 2
+
+
+def test_a_term_whose_reply_was_lost_is_nobodys(cluster):
+    cluster.store.lost_replies = 1
+    cluster.first.reconcile("one", TARGET, SERVICE)
+    assert cluster.engine.commands == []
+    cluster.first.reconcile("one", TARGET, SERVICE)
+    assert cluster.engine.commands[0]["fence"] == 2
