--- a/src/cedarchute/scheduling/admission.py
+++ b/src/cedarchute/scheduling/admission.py
@@ -5,21 +5,21 @@
 from typing import TYPE_CHECKING, Final
 
 from cedarchute.problem import Problem
-from cedarchute.scheduling.target_book import is_leaving
+from cedarchute.scheduling.target_directory import is_draining
 
 if TYPE_CHECKING:
     import random
 
     from cedarchute.metrics import Metrics
     from cedarchute.operators.configuration import Configuration
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
 
 MIN_RETRY_AFTER_SECONDS: Final = 0.4
 MAX_EXCESS: Final = 10.0
 JITTER: Final = 1.0
 
 
-class Admission:
+class AdmissionController:
     """Rejects new programs while the engines' queues are too long.
 
     Programs that are already running are never rejected for load: their prompts
@@ -28,12 +28,12 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        directory: TargetDirectory,
         configuration: Configuration,
         random_source: random.Random,
         metrics: Metrics,
     ) -> None:
-        self.book = book
+        self.directory = directory
         self.configuration = configuration
         self.random_source = random_source
         self.metrics = metrics
@@ -67,8 +67,8 @@
     def measure_backlog(self) -> float:
         """Return the number of waiting requests per slot, over all known engines."""
         waiting = slots = 0
-        for target in self.book.targets.values():
-            if target.report is None or is_leaving(target):
+        for target in self.directory.targets.values():
+            if target.report is None or is_draining(target):
                 continue
             slots += target.report.max_running
             waiting += max(0, target.outstanding_requests - target.report.max_running)
--- a/src/cedarchute/scheduling/load_poller.py
+++ b/src/cedarchute/scheduling/load_poller.py
@@ -13,7 +13,7 @@
     import random
 
     from cedarchute.operators.configuration import Configuration
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.engine_client import EngineClient
 
@@ -23,13 +23,13 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        directory: TargetDirectory,
         configuration: Configuration,
         client: EngineClient,
         interval_seconds: float,
         random_source: random.Random,
     ) -> None:
-        self.book = book
+        self.directory = directory
         self.configuration = configuration
         self.client = client
         self.interval_seconds = interval_seconds
@@ -38,7 +38,7 @@
     def poll_forever(self) -> None:
         """Poll all engines until the process ends, with jitter on the interval."""
         while True:
-            for target in list(self.book.targets.values()):
+            for target in list(self.directory.targets.values()):
                 if self.is_engine(target):
                     eventlet.spawn_n(self.poll, target)
             eventlet.sleep(self.interval_seconds * self.random_source.uniform(0.8, 1.2))
@@ -55,4 +55,4 @@
             report = self.client.read_load(target.section.address)
         except TargetError:
             return
-        self.book.on_report(target, report)
+        self.directory.on_report(target, report)
--- a/src/cedarchute/scheduling/shared_name.py
+++ b/src/cedarchute/scheduling/pinned_prefix_key.py
@@ -22,12 +22,12 @@
     return f"{SHARED_PREFIX}.{start}.{int(seconds)}.{digest.hex()}"
 
 
-def is_shared_name(name: str) -> bool:
+def is_pinned_prefix_key(name: str) -> bool:
     """Return whether `name` is the key of a pinned prefix, not a program's ID."""
     return name.startswith(f"{SHARED_PREFIX}.")
 
 
-def is_shared_name_over(name: str, now: float) -> bool:
+def is_pinned_prefix_expired(name: str, now: float) -> bool:
     """Return whether a key has expired; true for a malformed key."""
     parts = name.split(".")
     if len(parts) != 4 or not parts[1].isdigit() or not parts[2].isdigit():
--- a/src/cedarchute/scheduling/prefix_index.py
+++ b/src/cedarchute/scheduling/prefix_index.py
@@ -31,7 +31,9 @@
         self.clock = clock
         self.entries: OrderedDict[bytes, PrefixEntry] = OrderedDict()
 
-    def note(self, digests: Sequence[bytes], program: str, target: str) -> None:
+    def record_prompt(
+        self, digests: Sequence[bytes], program: str, target: str
+    ) -> None:
         """Record that a prompt of `program` was sent to `target`."""
         now = self.clock.monotonic()
         for digest in digests:
@@ -55,7 +57,7 @@
             shared = number
         return shared * CHUNK_TOKENS
 
-    def count_held_tokens(self, digests: Sequence[bytes], target: str) -> int:
+    def count_cached_tokens(self, digests: Sequence[bytes], target: str) -> int:
         """Return the estimated number of prefix tokens in the cache of a target."""
         oldest = self.clock.monotonic() - ENTRY_TTL_SECONDS
         cached = 0
--- a/src/cedarchute/scheduling/order.py
+++ b/src/cedarchute/scheduling/priority.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class ProgramStanding:
+class PriorityInputs:
     """Inputs to the priority of a program.
 
     Attributes
@@ -37,7 +37,7 @@
     weight: float
 
 
-def priority_of(order: Order, standing: ProgramStanding) -> int:
+def compute_priority(order: Order, inputs: PriorityInputs) -> int:
     """Return the priority of a program's next call; lower goes first.
 
     `Order.OLDEST` orders programs first come, first served, so that a program does
@@ -46,8 +46,8 @@
     ageing prevents starvation of the long ones.
     """
     if order is Order.OLDEST:
-        head_start = HEAD_START_SECONDS * (standing.weight - 1.0)
-        return int((standing.opened_at - head_start) * PRIORITY_STEPS_PER_SECOND)
-    weighted_tokens = standing.attained_tokens / standing.weight
+        head_start = HEAD_START_SECONDS * (inputs.weight - 1.0)
+        return int((inputs.opened_at - head_start) * PRIORITY_STEPS_PER_SECOND)
+    weighted_tokens = inputs.attained_tokens / inputs.weight
     level = min(LEVELS, int(weighted_tokens / LEVEL_TOKENS).bit_length())
-    return max(0, level - int(standing.age_seconds / AGEING_SECONDS))
+    return max(0, level - int(inputs.age_seconds / AGEING_SECONDS))
--- a/src/cedarchute/scheduling/program_aware.py
+++ b/src/cedarchute/scheduling/program_aware.py
@@ -90,7 +90,7 @@
     ) -> int:
         """Return the estimated number of prompt tokens in the cache of a target."""
         own = request.cached_tokens.get(target.name, 0)
-        shared = self.index.count_held_tokens(request.prefixes, target.name)
+        shared = self.index.count_cached_tokens(request.prefixes, target.name)
         return min(max(own, shared), request.prompt_tokens)
 
     def compute_prefill_cost(
@@ -115,7 +115,7 @@
         report = target.report
         rate = report.prefill_tokens_per_second if report else DEFAULT_PREFILL_RATE
         uncached = max(0, request.prompt_tokens - cached_tokens)
-        if is_worth_moving(target, cached_tokens, transferable_tokens):
+        if is_transfer_cheaper(target, cached_tokens, transferable_tokens):
             assert report is not None
             transferred = transferable_tokens - cached_tokens
             transfer_seconds = (
@@ -183,7 +183,7 @@
     return waiting / slots
 
 
-def is_worth_moving(
+def is_transfer_cheaper(
     target: TargetState, cached_tokens: int, transferable_tokens: int
 ) -> bool:
     """Return whether a target should import a prompt's cache instead of computing it.
--- a/src/cedarchute/scheduling/target_book.py
+++ b/src/cedarchute/scheduling/target_directory.py
@@ -20,7 +20,7 @@
 MAX_BACKOFF_SECONDS: Final = 15.0
 
 
-class TargetBook:
+class TargetDirectory:
     """Tracks the targets of the accepted file, their health and their load reports.
 
     Parameters
@@ -45,14 +45,14 @@
         self.targets: dict[str, TargetState] = {}
         self.unassigned: dict[str, TargetState] = {}
         self.by_service: dict[str, list[TargetState]] = {}
-        self.platform_leaving: frozenset[str] = frozenset()
+        self.platform_draining: frozenset[str] = frozenset()
 
     def on_configuration(self, accepted: AcceptedFile) -> None:
         """Apply an accepted file; the state of unchanged targets is kept."""
         self.site = accepted.site
         self.assign_targets()
 
-    def on_ring(self, ring: BoxRing) -> None:
+    def on_ring_changed(self, ring: BoxRing) -> None:
         """Reassign targets when the membership of the ring has changed."""
         if ring.names != self.ring.names:
             self.ring = ring
@@ -103,48 +103,52 @@
         state = self.unassigned[name] = TargetState(name, self.site.targets[name])
         return state
 
-    def usable(self, service: str, excluded: set[str]) -> list[TargetState]:
+    def list_available(self, service: str, excluded: set[str]) -> list[TargetState]:
         """Return the targets of `service` that accept new requests now."""
         now = self.clock.monotonic()
         return [
             target
             for target in self.by_service.get(service, [])
-            if not is_leaving(target)
-            and target.name not in self.platform_leaving
+            if not is_draining(target)
+            and target.name not in self.platform_draining
             and target.name not in excluded
-            and self.accepts_request(target, now)
+            and self.is_ready(target, now)
         ]
 
-    def accepts_request(self, target: TargetState, now: float) -> bool:
-        """Return whether a target is healthy, or due for a single probe request."""
+    def is_ready(self, target: TargetState, now: float) -> bool:
+        """Return whether a target is healthy, or due for a single probe."""
         if target.failures == 0:
             return True
         return now >= target.backoff_until and not target.probing
 
-    def on_sent(self, target: TargetState, tokens: int, priority: int = 0) -> None:
+    def on_request_sent(
+        self, target: TargetState, tokens: int, priority: int = 0
+    ) -> None:
         """Record a request sent to `target`, with `tokens` to compute."""
         target.in_flight += 1
         target.priorities.append(priority)
         target.tokens_sent_since_report += tokens
         target.probing = target.failures > 0
 
-    def on_done(self, target: TargetState, priority: int = 0) -> None:
+    def on_request_succeeded(self, target: TargetState, priority: int = 0) -> None:
         """Record a successful request and reset the failure count."""
         target.in_flight -= 1
         target.priorities.remove(priority)
         target.failures = 0
         target.probing = False
 
-    def on_failed(self, target: TargetState, reason: str, priority: int = 0) -> None:
+    def on_request_failed(
+        self, target: TargetState, reason: str, priority: int = 0
+    ) -> None:
         """Record a failure; back off unless the target was busy or refused it."""
         target.in_flight -= 1
         target.priorities.remove(priority)
         target.probing = False
         if reason in ("target_busy", "target_refused"):
             return
-        self.rest(target)
+        self.back_off(target)
 
-    def rest(self, target: TargetState) -> None:
+    def back_off(self, target: TargetState) -> None:
         """Suspend requests to a target, with exponential backoff."""
         target.failures += 1
         backoff = min(BACKOFF_BASE_SECONDS * 2**target.failures, MAX_BACKOFF_SECONDS)
@@ -169,7 +173,7 @@
     return state
 
 
-def is_leaving(target: TargetState) -> bool:
-    """Return whether the accepted file or the load report marks a target as leaving."""
+def is_draining(target: TargetState) -> bool:
+    """Return whether the accepted file or the load report marks it as draining."""
     reported = target.report is not None and target.report.leaving
     return reported or target.section.state is DesiredState.LEAVING
--- a/src/cedarchute/scheduling/target_state.py
+++ b/src/cedarchute/scheduling/target_state.py
@@ -73,7 +73,9 @@
         ahead = sum(1 for other in self.priorities if other <= priority)
         return ahead / len(self.priorities)
 
-    def learn(self, prompt_tokens: int, cached_tokens: int, answer_tokens: int) -> None:
+    def record_completion(
+        self, prompt_tokens: int, cached_tokens: int, answer_tokens: int
+    ) -> None:
         """Update the moving averages with a completed answer."""
         uncached = 1.0 - cached_tokens / prompt_tokens if prompt_tokens else 1.0
         self.uncached_fraction += SMOOTHING_FACTOR * (uncached - self.uncached_fraction)
--- a/src/cedarchute/targets/engine_client.py
+++ b/src/cedarchute/targets/engine_client.py
@@ -11,7 +11,7 @@
 
 from cedarchute.host_pools import HostPools
 from cedarchute.targets.load_report import LoadReport
-from cedarchute.targets.stream_piece import StreamEnd, StreamPiece
+from cedarchute.targets.stream_chunk import StreamChunk, StreamEnd
 from cedarchute.targets.target_error import (
     TargetError,
     make_status_error,
@@ -49,7 +49,7 @@
 
     def generate(
         self, address: Address, request: GenerateRequest, timeout_seconds: float
-    ) -> Iterator[StreamPiece | StreamEnd]:
+    ) -> Iterator[StreamChunk | StreamEnd]:
         """Start an answer and yield its chunks, followed by the end.
 
         Raises
@@ -65,7 +65,7 @@
 
     def resume(
         self, address: Address, request_id: str, offset: int, timeout_seconds: float
-    ) -> Iterator[StreamPiece | StreamEnd]:
+    ) -> Iterator[StreamChunk | StreamEnd]:
         """Resume a stream at an offset in characters.
 
         Raises
@@ -99,7 +99,7 @@
             "POST", address, "/cache/import", exported, CACHE_TRANSFER_TIMEOUT_SECONDS
         )
 
-    def read_held(self, address: Address) -> list[str]:
+    def list_cached_programs(self, address: Address) -> list[str]:
         """Return the IDs of the programs that have cache on the engine."""
         return list(
             self._send_control_request("GET", address, "/cache/held")["programs"]
@@ -117,9 +117,11 @@
         """Return the model, version and fencing token of an engine."""
         return self._send_control_request("GET", address, "/state")
 
-    def order(self, address: Address, order: dict[str, object]) -> dict[str, Any]:
+    def send_command(
+        self, address: Address, command: dict[str, object]
+    ) -> dict[str, Any]:
         """Send a command; raise `TargetError` if it is refused or unanswered."""
-        return self._send_control_request("POST", address, "/orders", order)
+        return self._send_control_request("POST", address, "/orders", command)
 
     def _open_stream(
         self,
@@ -152,7 +154,7 @@
 
     def _read_events(
         self, response: BaseHTTPResponse
-    ) -> Iterator[StreamPiece | StreamEnd]:
+    ) -> Iterator[StreamChunk | StreamEnd]:
         buffer = b""
         is_complete = False
         try:
@@ -205,7 +207,7 @@
             raise TargetError("bad_answer", path, Verdict.MAY_HAVE_RUN) from error
 
 
-def parse_events(data: bytes) -> Iterator[StreamPiece | StreamEnd]:
+def parse_events(data: bytes) -> Iterator[StreamChunk | StreamEnd]:
     """Parse complete server-sent events; join their texts into one chunk.
 
     An engine sends one event per token. Joining those that arrive together reduces
@@ -231,6 +233,6 @@
                 completion_tokens=usage["completion_tokens"],
             )
     if texts:
-        yield StreamPiece("".join(texts), tokens)
+        yield StreamChunk("".join(texts), tokens)
     if end is not None:
         yield end
--- a/src/cedarchute/targets/orders/order_keeper.py
+++ b/src/cedarchute/targets/orders/engine_reconciler.py
@@ -31,7 +31,7 @@
 LEASE_MARGIN_SECONDS: Final = 4.0
 
 
-class OrderKeeper:
+class EngineReconciler:
     """Sends commands to engines that do not serve the desired model.
 
     Only `loads_at_once` boxes reconcile, each one target at a time, which bounds
@@ -132,7 +132,7 @@
         if self.clock.monotonic() - started > LEASE_SECONDS - LEASE_MARGIN_SECONDS:
             self.metrics.count_refusal("order_term_over")
             return
-        self.engines.order(target.address, {**desired, "fence": lease.fence})
+        self.engines.send_command(target.address, {**desired, "fence": lease.fence})
         self.metrics.count("orders.given")
         log.info(
             "Sent %s the command to serve %s with fencing token %d.",
--- a/src/cedarchute/targets/stream_piece.py
+++ b/src/cedarchute/targets/stream_chunk.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class StreamPiece:
+class StreamChunk:
     """A chunk of text, which consists of `tokens` tokens."""
 
     text: str
--- a/tests/scheduling/test_shared_holds.py
+++ b/tests/scheduling/test_prefix_pinner.py
@@ -6,14 +6,17 @@
 from cedarchute.metrics import Metrics
 from cedarchute.operators.site_file import TargetSection
 from cedarchute.programs.records import ChatMessage
+from cedarchute.scheduling.pinned_prefix_key import (
+    is_pinned_prefix_expired,
+    is_pinned_prefix_key,
+)
 from cedarchute.scheduling.prefix_digests import digest_prefixes
 from cedarchute.scheduling.prefix_index import PrefixIndex
-from cedarchute.scheduling.shared_holds import (
+from cedarchute.scheduling.prefix_pinner import (
     RETRY_SECONDS,
-    SharedHolds,
+    PrefixPinner,
     truncate_messages,
 )
-from cedarchute.scheduling.shared_name import is_shared_name, is_shared_name_over
 from cedarchute.scheduling.target_state import TargetState
 from cedarchute.targets.target_error import TargetError
 from cedarchute.verdict import Verdict
@@ -45,15 +48,15 @@
         self.engines = FakeEngineClient()
         self.index = PrefixIndex(self.clock)
         self.metrics = Metrics()
-        self.holds = SharedHolds(
+        self.pinner = PrefixPinner(
             self.engines, self.index, lambda: seconds, self.clock, self.metrics
         )
 
     def finish_call(self, program, text=SHARED_TEXT):
         messages = [ChatMessage(role="user", content=f"{text}{program}" * 3)]
         prefixes = digest_prefixes(m.content for m in messages)
-        self.index.note(prefixes, program, "t0")
-        self.holds.on_finished(TARGET, "small", prefixes, lambda: messages)
+        self.index.record_prompt(prefixes, program, "t0")
+        self.pinner.on_call_finished(TARGET, "small", prefixes, lambda: messages)
         eventlet.sleep(0)
 
 
@@ -64,7 +67,7 @@
     for program in ("p2", "p3", "p4"):
         harness.finish_call(program)
     (request,) = harness.engines.requests
-    assert is_shared_name(request.program)
+    assert is_pinned_prefix_key(request.program)
     assert request.max_tokens == 1
     assert len(request.messages[0].content) <= len(SHARED_TEXT)
     assert SHARED_TEXT.startswith(request.messages[0].content)
@@ -111,9 +114,9 @@
     harness.finish_call("p1")
     harness.finish_call("p2")
     name = harness.engines.requests[0].program
-    assert not is_shared_name_over(name, harness.clock.now + 29)
-    assert is_shared_name_over(name, harness.clock.now + 61)
-    assert is_shared_name_over("shared.nonsense", harness.clock.now)
+    assert not is_pinned_prefix_expired(name, harness.clock.now + 29)
+    assert is_pinned_prefix_expired(name, harness.clock.now + 61)
+    assert is_pinned_prefix_expired("shared.nonsense", harness.clock.now)
 
 
 def test_messages_are_cut_at_a_number_of_characters():
--- a/tests/targets/test_order_keeper.py
+++ b/tests/targets/test_engine_reconciler.py
@@ -13,7 +13,7 @@
 from cedarchute.metrics import Metrics
 from cedarchute.operators.configuration import Configuration
 from cedarchute.operators.site_file import ServiceSection, TargetSection
-from cedarchute.targets.orders.order_keeper import LEASE_SECONDS, OrderKeeper
+from cedarchute.targets.orders.engine_reconciler import LEASE_SECONDS, EngineReconciler
 
 TARGET = TargetSection(service="agent", address="127.0.0.1:9000", failure_domain="a")
 SERVICE = ServiceSection(kind="model", model="small", version="2")
@@ -32,9 +32,9 @@
             self.on_read()
         return self.state
 
-    def order(self, address, order):
-        self.commands.append(order)
-        self.state = {k: v for k, v in order.items() if k != "fence"}
+    def send_command(self, address, command):
+        self.commands.append(command)
+        self.state = {k: v for k, v in command.items() if k != "fence"}
 
 
 class Cluster:
@@ -60,7 +60,7 @@
         store = self.store.client(FakeNetwork(), number)
         keys, view, metrics = StoreKeys("x/"), View(), Metrics()
         lease = LeaseKeeper(store, keys, view, record, 10, self.clock, metrics)
-        return OrderKeeper(
+        return EngineReconciler(
             store,
             keys,
             view,
