--- a/src/cedarchute/scheduling/load_poller.py
+++ b/src/cedarchute/scheduling/load_poller.py
@@ -1,4 +1,4 @@
-"""Asks the engines for their load."""
+"""Periodic polling of the engines for load reports."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 
 class LoadPoller:
-    """One task that starts a poll of each engine in each period."""
+    """Starts one poll of every engine per interval."""
 
     def __init__(
         self,
-        book: TargetDirectory,
+        directory: TargetDirectory,
         configuration: Configuration,
         client: EngineClient,
-        seconds: float,
+        interval_seconds: float,
         random_source: random.Random,
     ) -> None:
-        self.book = book
+        self.directory = directory
         self.configuration = configuration
         self.client = client
-        self.seconds = seconds
+        self.interval_seconds = interval_seconds
         self.random_source = random_source
 
     def poll_forever(self) -> None:
-        """Poll in each period, spread by chance."""
+        """Poll all engines until the process ends, with jitter on the interval."""
         while True:
-            for target in list(self.book.targets.values()):
+            for target in list(self.directory.targets.values()):
                 if self.is_engine(target):
                     eventlet.spawn_n(self.poll, target)
-            eventlet.sleep(self.seconds * self.random_source.uniform(0.8, 1.2))
+            eventlet.sleep(self.interval_seconds * self.random_source.uniform(0.8, 1.2))
 
     def is_engine(self, target: TargetState) -> bool:
         """Return whether the target is a model engine."""
@@ -50,9 +50,9 @@
         return service is not None and service.kind is ServiceKind.MODEL
 
     def poll(self, target: TargetState) -> None:
-        """Take in one report, if the engine answers."""
+        """Fetch one load report; skip an engine that does not answer."""
         try:
             report = self.client.read_load(target.section.address)
         except TargetError:
             return
-        self.book.on_report(target, report)
+        self.directory.on_report(target, report)
--- a/src/cedarchute/targets/service_client.py
+++ b/src/cedarchute/targets/service_client.py
@@ -1,4 +1,4 @@
-"""Calls plain services and tools."""
+"""HTTP client of plain services and tools."""
 
 from __future__ import annotations
 
@@ -7,31 +7,36 @@
 import urllib3
 
 from cedarchute.host_pools import HostPools
-from cedarchute.targets.target_error import describe_status, describe_transport_error
+from cedarchute.targets.target_error import make_status_error, make_transport_error
 
 if TYPE_CHECKING:
     from cedarchute.address import Address
 
-CONNECTIONS: Final = 64
-HOSTS: Final = 256
-CONNECT_SECONDS: Final = 2.0
+MAX_CONNECTIONS: Final = 64
+MAX_HOSTS: Final = 256
+CONNECT_TIMEOUT_SECONDS: Final = 2.0
 
 
 class ServiceClient:
-    """Posts one JSON body and returns the answer's text."""
+    """Posts a JSON body and returns the text of the response."""
 
     def __init__(self) -> None:
-        self.pools = HostPools(CONNECTIONS, HOSTS)
+        self.pools = HostPools(MAX_CONNECTIONS, MAX_HOSTS)
 
     def call(
-        self, address: Address, key: str, program: str, body: str, seconds: float
+        self,
+        address: Address,
+        key: str,
+        program: str,
+        body: str,
+        timeout_seconds: float,
     ) -> str:
-        """Call the service once.
+        """Send one request to the service.
 
         Raises
         ------
         TargetError
-            With the verdict that the failure allows.
+            With a verdict that tells whether the request may have run.
         """
         headers = {
             "content-type": "application/json",
@@ -45,10 +50,12 @@
                 "/call",
                 body=body.encode(),
                 headers=headers,
-                timeout=urllib3.Timeout(connect=CONNECT_SECONDS, read=seconds),
+                timeout=urllib3.Timeout(
+                    connect=CONNECT_TIMEOUT_SECONDS, read=timeout_seconds
+                ),
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise describe_transport_error(error) from error
+            raise make_transport_error(error) from error
         if response.status != 200:
-            raise describe_status(response)
+            raise make_status_error(response)
         return response.data.decode()
--- a/tests/scheduling/test_target_directory.py
+++ b/tests/scheduling/test_target_directory.py
@@ -24,49 +24,51 @@
     )
 
 
-def make_books(boxes, targets, subset):
-    books = [
+def make_directories(boxes, targets, subset):
+    directories = [
         TargetDirectory(f"b{n}", "region", subset, StillClock(), Metrics())
         for n in range(boxes)
     ]
-    for book in books:
-        book.on_configuration(make_file(targets))
-        book.on_ring_changed(BoxRing(other.box for other in books))
-    return books
+    for directory in directories:
+        directory.on_configuration(make_file(targets))
+        directory.on_ring_changed(BoxRing(other.box for other in directories))
+    return directories
 
 
 @pytest.mark.parametrize(("boxes", "targets"), [(3, 30), (40, 120), (120, 350)])
 def test_each_target_is_worked_with_by_some_box(boxes, targets):
-    books = make_books(boxes, targets, subset=2)
-    covered = {name for book in books for name in book.targets}
+    directories = make_directories(boxes, targets, subset=2)
+    covered = {name for directory in directories for name in directory.targets}
     assert len(covered) == targets
 
 
 def test_a_target_of_other_boxes_is_found_and_given_no_new_work():
-    (book, *_) = make_books(40, 120, subset=2)
-    other = next(f"e{n}" for n in range(120) if f"e{n}" not in book.targets)
-    assert book.find(other).name == other
-    assert book.find(other) is book.find(other)
-    assert other not in [target.name for target in book.list_available("agent", set())]
-    assert book.find("unknown") is None
+    (directory, *_) = make_directories(40, 120, subset=2)
+    other = next(f"e{n}" for n in range(120) if f"e{n}" not in directory.targets)
+    assert directory.find(other).name == other
+    assert directory.find(other) is directory.find(other)
+    assert other not in [
+        target.name for target in directory.list_available("agent", set())
+    ]
+    assert directory.find("unknown") is None
 
 
 def test_what_is_known_of_a_target_stays_unless_its_address_changes():
-    book = TargetDirectory("b0", "region", 10, StillClock(), Metrics())
-    book.on_configuration(make_file(3))
-    first, second = book.find("e0"), book.find("e1")
-    book.on_ring_changed(BoxRing(["b0", "b1"]))
-    book.on_configuration(make_file(3, moved="e1"))
-    assert book.find("e0") is first
-    assert book.find("e1") is not second
+    directory = TargetDirectory("b0", "region", 10, StillClock(), Metrics())
+    directory.on_configuration(make_file(3))
+    first, second = directory.find("e0"), directory.find("e1")
+    directory.on_ring_changed(BoxRing(["b0", "b1"]))
+    directory.on_configuration(make_file(3, moved="e1"))
+    assert directory.find("e0") is first
+    assert directory.find("e1") is not second
 
 
 def test_targets_of_the_own_region_are_used_while_there_are_any():
-    book = TargetDirectory("b0", "r1", 5, StillClock(), Metrics())
-    book.on_configuration(make_file(40, regions=4))
-    book.on_ring_changed(BoxRing(["b0", "b1"]))
-    assert {target.section.region for target in book.targets.values()} == {"r1"}
-    assert len(book.targets) >= 5
-    far = TargetDirectory("b0", "r9", 5, StillClock(), Metrics())
-    far.on_configuration(make_file(40, regions=4))
-    assert len(far.targets) == 5
+    directory = TargetDirectory("b0", "r1", 5, StillClock(), Metrics())
+    directory.on_configuration(make_file(40, regions=4))
+    directory.on_ring_changed(BoxRing(["b0", "b1"]))
+    assert {target.section.region for target in directory.targets.values()} == {"r1"}
+    assert len(directory.targets) >= 5
+    remote = TargetDirectory("b0", "r9", 5, StillClock(), Metrics())
+    remote.on_configuration(make_file(40, regions=4))
+    assert len(remote.targets) == 5
