--- a/src/cedarchute/turns/account_sum.py
+++ b/src/cedarchute/turns/account_sum.py
@@ -1,4 +1,4 @@
-"""Merges the accounts of a program from several replicas."""
+"""Merges the accounts of a program from several holders."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def sum_accounts(accounts: list[Account], turn: str) -> int:
     """Return the tokens that a program has used, without those of `turn`.
 
-    A settled amount at any replica overrides a reservation at another.
+    A settled amount at any holder overrides a reservation at another.
     """
     merged: dict[str, int] = {}
     for account in accounts:
--- a/src/cedarchute/turns/catch_up.py
+++ b/src/cedarchute/turns/catch_up.py
@@ -1,4 +1,4 @@
-"""Copies records to the empty disk of a new replica from the other replicas."""
+"""Copies records to the empty disk of a new holder from the other holders."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class CopyOutcome(StrEnum):
-    """Result of copying from another replica."""
+    """Result of copying from another holder."""
 
     WHOLE = "whole"
     EMPTY = "empty"
@@ -30,10 +30,10 @@
 
 
 class CatchUp:
-    """Copies the records of a slot from the replicas in all other slots.
+    """Copies the records of a seat from the holders in all other seats.
 
-    Only one replica besides the replaced one may have an acknowledged record, so every
-    replica that is not empty itself is read. Each installs the new table before it
+    Only one holder besides the replaced one may have an acknowledged record, so every
+    holder that is not empty itself is read. Each installs the new table before it
     answers, so no write under the old table can be acknowledged afterwards.
     """
 
@@ -43,7 +43,7 @@
         self.seats = seats
 
     def run_once(self, number: int) -> bool:
-        """Copy from every other replica; return whether the copy is complete."""
+        """Copy from every other holder; return whether the copy is complete."""
         table = self.seats.table
         others = [
             seat
@@ -55,12 +55,12 @@
             return False
         silent = outcomes.count(CopyOutcome.SILENT)
         empty = outcomes.count(CopyOutcome.EMPTY)
-        # This disk counts as one of the tolerated failures. If any replica did not
+        # This disk counts as one of the tolerated failures. If any holder did not
         # answer, it and the empty ones have to fit into the remaining failures.
         return silent == 0 or silent + empty <= table.losses - 1
 
     def copy_from(self, seat: Seat, table: SeatTable, number: int) -> CopyOutcome:
-        """Copy all pages from one replica."""
+        """Copy all pages from one holder."""
         after = ""
         count = 0
         while True:
@@ -77,7 +77,7 @@
                 return CopyOutcome.SILENT
             except HolderUnavailableError as error:
                 log.info(
-                    "Copying from another replica failed.",
+                    "Copying from another holder failed.",
                     extra={"box": seat.box, "why": str(error)},
                 )
                 return CopyOutcome.SILENT
@@ -87,7 +87,7 @@
             after = page.next
             if not after:
                 log.info(
-                    "Copied records from another replica.",
+                    "Copied records from another holder.",
                     extra={"box": seat.box, "records": count},
                 )
                 return CopyOutcome.WHOLE
--- a/src/cedarchute/turns/chain_reader.py
+++ b/src/cedarchute/turns/chain_reader.py
@@ -1,4 +1,4 @@
-"""Reads the chain of turns that a turn continues, from any replicas."""
+"""Reads the chain of turns that a turn continues, from any holders."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class NoSuchTurnError(Exception):
-    """No replica has the turn, and enough of them answered to be sure."""
+    """No holder has the turn, and enough of them answered to be sure."""
 
     code = "no_such_turn"
 
 
 class ChainReader:
-    """Assembles the chain of a turn from the replicas that have parts of it."""
+    """Assembles the chain of a turn from the holders that have parts of it."""
 
     def __init__(self, fanout: HolderFanout) -> None:
         self.fanout = fanout
@@ -37,7 +37,7 @@
         NoSuchTurnError
             If the chain has a missing turn, or one of another workspace.
         NoQuorumError
-            If too few replicas answer.
+            If too few holders answer.
         """
         if not previous:
             return TurnAdmission(b"", "")
@@ -57,10 +57,10 @@
         return TurnAdmission(text, target)
 
     def read(self, turn: str) -> Chain:
-        """Return the longest part of the chain ending at `turn` that a replica has.
+        """Return the longest part of the chain ending at `turn` that a holder has.
 
-        All replicas are asked, since the turn may belong to another program, stored in
-        other slots. A completed turn is on a quorum, so it does not exist if no replica
+        All holders are asked, since the turn may belong to another program, stored in
+        other seats. A completed turn is on a quorum, so it does not exist if no holder
         has it, apart from as many as may have failed.
         """
 
@@ -76,7 +76,7 @@
         request = FanoutRequest(
             path="/turns/chain",
             answer=Chain,
-            select_slots=SeatTable.list_occupied,
+            select_seats=SeatTable.list_occupied,
             build=build,
             is_enough=is_enough,
             count_initial=lambda table: len(table.seats),
--- a/src/cedarchute/turns/disk_identity.py
+++ b/src/cedarchute/turns/disk_identity.py
@@ -1,4 +1,4 @@
-"""Identifies the contents of a replica's disk."""
+"""Identifies the contents of a holder's disk."""
 
 from __future__ import annotations
 
--- a/src/cedarchute/turns/evacuation.py
+++ b/src/cedarchute/turns/evacuation.py
@@ -1,4 +1,4 @@
-"""Copies the records of a retiring replica to the remaining replicas."""
+"""Copies the records of a retiring holder to the remaining holders."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Evacuation:
-    """Writes every record to all replicas of its program.
+    """Writes every record to all holders of its program.
 
     Keeps the number of copies of each acknowledged record when this disk goes away.
     """
@@ -30,18 +30,18 @@
         self.seats = seats
 
     def run_once(self) -> bool:
-        """Copy all records; return whether every replica stored its share."""
+        """Copy all records; return whether every holder stored its share."""
         table = self.seats.table
         by_seat: dict[int, list[Record]] = {}
         for program, state in list(self.book.programs.items()):
-            for number in table.find_slots(program):
+            for number in table.find_seats(program):
                 records = state.list_records(program)
                 by_seat.setdefault(number, []).extend(records)
         done = [self.hand_over(table, number, by_seat[number]) for number in by_seat]
         return all(done) and self.seats.table.version == table.version
 
     def hand_over(self, table: SeatTable, number: int, records: list[Record]) -> bool:
-        """Send records to one replica; return whether it stored them."""
+        """Send records to one holder; return whether it stored them."""
         seat = table.seats[number]
         if seat.is_vacant:
             return True
--- a/src/cedarchute/turns/holder.py
+++ b/src/cedarchute/turns/holder.py
@@ -1,4 +1,4 @@
-"""A replica of turn records: handles requests about programs stored on its disk."""
+"""A holder of turn records: handles requests about programs stored on its disk."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 class HolderError(Exception):
-    """The replica cannot serve a request.
+    """The holder cannot serve a request.
 
     Attributes
     ----------
-    table : ReplicaTable or None
+    table : SeatTable or None
         The current table, so that a requester with an older one can update.
     is_empty : bool
-        Whether the replica is still catching up.
+        Whether the holder is still catching up.
     """
 
     code = "holder_error"
@@ -136,7 +136,7 @@
         return Chain(tuple(chain), missing)
 
     def copy_records(self, message: CopyRecords) -> CopiedRecords:
-        """Return a page of the records of one slot to its new replica."""
+        """Return a page of the records of one seat to its new holder."""
         self.seats.offer(message.table, "holder")
         if message.table.version < self.seats.table.version:
             raise HolderError("the table of seats is old", self.seats.table)
@@ -146,7 +146,7 @@
         records: list[Record] = []
         size = 0
         for program in sorted(p for p in self.book.programs if p > message.after):
-            if message.seat not in message.table.find_slots(program):
+            if message.seat not in message.table.find_seats(program):
                 continue
             found = self.book.programs[program].list_records(program)
             records.extend(found)
--- a/src/cedarchute/turns/holder_app.py
+++ b/src/cedarchute/turns/holder_app.py
@@ -1,4 +1,4 @@
-"""WSGI application that exposes a replica to other boxes."""
+"""WSGI application that exposes a holder to other boxes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class HolderApp:
-    """Decodes requests, dispatches them to the replica and encodes the answers."""
+    """Decodes requests, dispatches them to the holder and encodes the answers."""
 
     def __init__(self, holder: Holder, quotas: QuotaKeeper) -> None:
         self.handlers: dict[str, tuple[type, Callable[[Any], object]]] = {
@@ -72,5 +72,5 @@
         except OSError as error:
             return "503 Service Unavailable", Refused(f"disk: {error}")
         except Exception as error:
-            log.exception("Unhandled error in a replica request.")
+            log.exception("Unhandled error in a holder request.")
             return "500 Internal Server Error", Refused(f"fault: {error}")
--- a/src/cedarchute/turns/holder_client.py
+++ b/src/cedarchute/turns/holder_client.py
@@ -1,4 +1,4 @@
-"""HTTP client for requests to a single replica."""
+"""HTTP client for requests to a single holder."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 AnswerT = TypeVar("AnswerT")
 
-# Concurrent requests of a busy entry to one replica.
-MAX_CONNECTIONS_PER_REPLICA: Final = 16
-MAX_REPLICA_POOLS: Final = 16
-# Well above the usual latency of a replica; only unreachable ones exceed it.
+# Concurrent requests of a busy entry to one holder.
+MAX_CONNECTIONS_PER_HOLDER: Final = 16
+MAX_HOLDER_POOLS: Final = 16
+# Well above the usual latency of a holder; only unreachable ones exceed it.
 CONNECT_SECONDS: Final = 0.5
 ANSWER_SECONDS: Final = 2.0
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
 
 
 class HolderUnavailableError(Exception):
-    """A replica gave no usable answer."""
+    """A holder gave no usable answer."""
 
     code = "holder_unavailable"
 
 
 class HolderRefusedError(HolderUnavailableError):
-    """A replica rejected a request."""
+    """A holder rejected a request."""
 
     code = "holder_refused"
 
@@ -43,11 +43,11 @@
 
 
 class HolderClient:
-    """Sends typed requests to replicas over pooled connections."""
+    """Sends typed requests to holders over pooled connections."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
-        self.pools = HostPools(MAX_CONNECTIONS_PER_REPLICA, hosts=MAX_REPLICA_POOLS)
+        self.pools = HostPools(MAX_CONNECTIONS_PER_HOLDER, hosts=MAX_HOLDER_POOLS)
         self.timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=ANSWER_SECONDS)
 
     def ask(
@@ -58,7 +58,7 @@
         answer: type[AnswerT],
         timeout: urllib3.Timeout | None = None,
     ) -> AnswerT:
-        """POST `message` to `path` of a replica; return the decoded answer.
+        """POST `message` to `path` of a holder; return the decoded answer.
 
         Parameters
         ----------
@@ -68,9 +68,9 @@
         Raises
         ------
         HolderRefusedError
-            If the replica rejects the request.
+            If the holder rejects the request.
         HolderUnavailableError
-            If the replica cannot be reached or its answer cannot be decoded.
+            If the holder cannot be reached or its answer cannot be decoded.
         """
         self.metrics.count("holders.calls")
         started = time.monotonic()
--- a/src/cedarchute/turns/holder_fanout.py
+++ b/src/cedarchute/turns/holder_fanout.py
@@ -1,4 +1,4 @@
-"""Sends a request to several replicas and returns once enough have answered."""
+"""Sends a request to several holders and returns once enough have answered."""
 
 from __future__ import annotations
 
@@ -26,44 +26,44 @@
 
 AnswerT = TypeVar("AnswerT")
 
-# Delay between two rounds when too few replicas answered.
+# Delay between two rounds when too few holders answered.
 PAUSE_SECONDS: Final = 0.1
-# Extra wait for the preferred replica once the quorum has answered; about the cost of
+# Extra wait for the preferred holder once the quorum has answered; about the cost of
 # a separate request for the chain's text.
 WANTED_SECONDS: Final = 0.01
-# Delay before a hedged request to another replica; longer than a synced write takes.
+# Delay before a hedged request to another holder; longer than a synced write takes.
 HEDGE_SECONDS: Final = 0.04
-# How long a late replica is asked last.
+# How long a late holder is asked last.
 LATE_SECONDS: Final = 2.0
-# After this long without a quorum, this box counts as isolated from the replicas, and
+# After this long without a quorum, this box counts as isolated from the holders, and
 # callers should use another box.
 CUT_OFF_SECONDS: Final = 0.5
 # Timeout of an isolated box for requests whose caller can retry at another box; enough
-# to notice that replicas answer again.
+# to notice that holders answer again.
 ISOLATED_TIMEOUT_SECONDS: Final = 0.1
 # Timeout for a quorum of answers.
 ANSWER_SECONDS: Final = 1.5
 
 
 class NoQuorumError(Exception):
-    """Too few replicas answered for a decision."""
+    """Too few holders answered for a decision."""
 
     code = "no_quorum"
 
 
 class FanoutRequest(Record, Generic[AnswerT]):
-    """A request to several replicas.
+    """A request to several holders.
 
     Attributes
     ----------
-    select_slots : Callable
-        Returns the numbers of the slots to ask under a table, in order of preference.
+    select_seats : Callable
+        Returns the numbers of the seats to ask under a table, in order of preference.
     build : Callable
-        Returns the message for one slot.
+        Returns the message for one seat.
     is_enough : Callable
         Returns whether the answers received suffice.
     count_initial : Callable
-        Returns how many of the slots are asked at once, in that order; the others are
+        Returns how many of the seats are asked at once, in that order; the others are
         asked only if these are late.
     seconds : float
         Timeout of the request.
@@ -71,12 +71,12 @@
         Whether to wait for the full timeout even on an isolated box, for requests
         that cannot be retried elsewhere.
     preferred : int or None
-        A slot whose answer is worth a short extra wait.
+        A seat whose answer is worth a short extra wait.
     """
 
     path: str
     answer: type[AnswerT]
-    select_slots: Callable[[SeatTable], list[int]]
+    select_seats: Callable[[SeatTable], list[int]]
     build: Callable[[SeatTable, int], object]
     is_enough: Callable[[SeatTable, dict[int, AnswerT]], bool]
     count_initial: Callable[[SeatTable], int]
@@ -85,8 +85,8 @@
     preferred: int | None = None
 
 
-class SlotResponse(Record):
-    """Answer from one slot; `value` is None if there was no usable answer."""
+class SeatAnswer(Record):
+    """Answer from one seat; `value` is None if there was no usable answer."""
 
     number: int
     value: object | None
@@ -110,16 +110,16 @@
         return time.monotonic() - self.failing_since > CUT_OFF_SECONDS
 
     def mark_unreachable(self) -> None:
-        """Record that replicas did not answer a request sent outside this fanout."""
+        """Record that holders did not answer a request sent outside this fanout."""
         self.failing_since = self.failing_since or time.monotonic()
 
     def ask(self, request: FanoutRequest[AnswerT]) -> dict[int, AnswerT]:
-        """Return the answers by slot number, once enough have arrived.
+        """Return the answers by seat number, once enough have arrived.
 
         Raises
         ------
         NoQuorumError
-            If there is no replica table yet, or too few answers before the timeout.
+            If there is no seat table yet, or too few answers before the timeout.
         """
         started = time.monotonic()
         gives_up_early = self.is_cut_off and not request.uses_full_timeout
@@ -160,15 +160,15 @@
             deadline = min(deadline, time.monotonic() + WANTED_SECONDS)
         return answers, is_old
 
-    def order_slots(self, numbers: list[int], table: SeatTable) -> list[int]:
-        """Return slot numbers in the given order, but recently late ones last."""
+    def order_seats(self, numbers: list[int], table: SeatTable) -> list[int]:
+        """Return seat numbers in the given order, but recently late ones last."""
         now = time.monotonic()
         return sorted(
             numbers, key=lambda n: self.late.get(table.seats[n].disk, 0) > now
         )
 
     def mark_late(self, seat: Seat) -> None:
-        """Record that a replica did not answer in time."""
+        """Record that a holder did not answer in time."""
         self.late[seat.disk] = time.monotonic() + LATE_SECONDS
 
     def ask_one(
@@ -179,7 +179,7 @@
         message: object,
         request: FanoutRequest[AnswerT],
     ) -> None:
-        """Send a request to one replica and queue its answer."""
+        """Send a request to one holder and queue its answer."""
         newer = False
         value = None
         started = time.monotonic()
@@ -190,21 +190,21 @@
             newer = table is not None and self.seats.offer(table, seat.box)
             self.mark_late(seat)
             log.info(
-                "Replica rejected the request.",
+                "Holder rejected the request.",
                 extra={"box": seat.box, "why": str(error)},
             )
         except HolderUnavailableError as error:
             self.mark_late(seat)
             log.info(
-                "Replica did not answer.", extra={"box": seat.box, "why": str(error)}
+                "Holder did not answer.", extra={"box": seat.box, "why": str(error)}
             )
         if time.monotonic() - started > HEDGE_SECONDS:
             self.mark_late(seat)
-        results.put(SlotResponse(number, value, newer))
+        results.put(SeatAnswer(number, value, newer))
 
 
 class FanoutRound(Generic[AnswerT]):
-    """One round of requests: a few replicas first, the rest as hedges."""
+    """One round of requests: a few holders first, the rest as hedges."""
 
     def __init__(
         self, fanout: HolderFanout, table: SeatTable, request: FanoutRequest[AnswerT]
@@ -214,20 +214,20 @@
         self.request = request
         self.results: LightQueue = LightQueue()
         occupied = [
-            n for n in request.select_slots(table) if not table.seats[n].is_vacant
+            n for n in request.select_seats(table) if not table.seats[n].is_vacant
         ]
-        self.remaining = fanout.order_slots(occupied, table)
+        self.remaining = fanout.order_seats(occupied, table)
         self.asked = 0
         self.received = 0
 
     def ask_initial(self) -> None:
-        """Ask as many replicas as have to answer."""
+        """Ask as many holders as have to answer."""
         first = self.request.count_initial(self.table)
         for _ in range(min(first, len(self.remaining))):
             self.ask_next()
 
     def ask_next(self) -> None:
-        """Ask one more replica, if any remains."""
+        """Ask one more holder, if any remains."""
         if not self.remaining:
             return
         number = self.remaining.pop(0)
@@ -238,10 +238,10 @@
             self.fanout.ask_one, self.results, number, seat, message, self.request
         )
 
-    def wait(self, deadline: float) -> SlotResponse | None:
+    def wait(self, deadline: float) -> SeatAnswer | None:
         """Return the next answer, or None at the deadline.
 
-        Asks another replica when the answers are late or one is unusable.
+        Asks another holder when the answers are late or one is unusable.
         """
         while True:
             left = deadline - time.monotonic()
--- a/src/cedarchute/turns/messages.py
+++ b/src/cedarchute/turns/messages.py
@@ -1,4 +1,4 @@
-"""Messages between boxes and replicas of turn records."""
+"""Messages between boxes and holders of turn records."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Addressed(msgspec.Struct, frozen=True, kw_only=True):
-    """Request to the replica with a given disk, under a given table version."""
+    """Request to the holder with a given disk, under a given table version."""
 
     table_version: int
     disk: str
@@ -26,7 +26,7 @@
     ----------
     wants_text : bool
         Whether the answer should include the text of the chain; requested from one
-        replica only.
+        holder only.
     """
 
     program: str
@@ -45,7 +45,7 @@
     spent : int
         Tokens used or reserved by the program, including those of this turn.
     missing : str
-        The newest turn of the chain that this replica lacks; empty if none.
+        The newest turn of the chain that this holder lacks; empty if none.
     text : bytes
         The text of the chain after `missing`, oldest turn first.
     target : str
@@ -53,7 +53,7 @@
     budget : int or None
         The smallest budget that any call of the program has set, in tokens.
     age_seconds : float or None
-        Time since the first request about the program at this replica, if known.
+        Time since the first request about the program at this holder, if known.
     """
 
     spent: int
@@ -101,7 +101,7 @@
     spent : int
         Tokens used or reserved.
     age_seconds : float or None
-        Time since the first request about the program at this replica, if known.
+        Time since the first request about the program at this holder, if known.
     """
 
     spent: int
@@ -165,9 +165,9 @@
 
 
 class CopyRecords(msgspec.Struct, frozen=True):
-    """Request the records of a slot, in pages by program.
+    """Request the records of a seat, in pages by program.
 
-    Carries the new table. The replica installs it first and accepts no writes under
+    Carries the new table. The holder installs it first and accepts no writes under
     an older one afterwards.
     """
 
@@ -184,14 +184,14 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """A replica cannot serve a request.
+    """A holder cannot serve a request.
 
     Attributes
     ----------
     table : SeatTable or None
-        The replica's table, when the requester's is older.
+        The holder's table, when the requester's is older.
     is_empty : bool
-        Whether the replica is still catching up itself.
+        Whether the holder is still catching up itself.
     """
 
     reason: str
--- a/src/cedarchute/turns/program_key.py
+++ b/src/cedarchute/turns/program_key.py
@@ -9,7 +9,7 @@
 
 
 def make_program_key(workspace: str, program: str) -> str:
-    """Return the key under which replicas store a program.
+    """Return the key under which holders store a program.
 
     Without a workspace, the key is the program's id alone. No workspace can continue
     such a program, so that its history never leaks to another workspace.
--- a/src/cedarchute/turns/program_state.py
+++ b/src/cedarchute/turns/program_state.py
@@ -1,4 +1,4 @@
-"""State of one program at one replica: turns and token counts."""
+"""State of one program at one holder: turns and token counts."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     budget : int or None
         The smallest that any call has set, so that a later call cannot raise it.
     first_asked_at : float or None
-        Monotonic time of the first request at this replica; None if the records came
-        from the disk or from another replica.
+        Monotonic time of the first request at this holder; None if the records came
+        from the disk or from another holder.
     """
 
     def __init__(self) -> None:
--- a/src/cedarchute/turns/quota_client.py
+++ b/src/cedarchute/turns/quota_client.py
@@ -98,7 +98,7 @@
             return QuotaGrant(False, refusal.next_call_at - now, refusal.level)
         if self.fanout.is_cut_off:
             raise NoKeeperError("this box is cut off from the holders")
-        numbers = self.find_slots(workspace)
+        numbers = self.find_seats(workspace)
         message = AskQuota(
             workspace=workspace,
             version=limit.version,
@@ -140,12 +140,12 @@
         put_bounded(self.cached_refusals, kind, refusal)
         return QuotaGrant(False, wait_seconds, level)
 
-    def find_slots(self, workspace: str) -> list[int]:
-        """Return the slots that share the limit, including vacant ones."""
-        return self.fanout.seats.table.find_slots(f"quota of {workspace}")[:KEEPERS]
+    def find_seats(self, workspace: str) -> list[int]:
+        """Return the seats that share the limit, including vacant ones."""
+        return self.fanout.seats.table.find_seats(f"quota of {workspace}")[:KEEPERS]
 
     def order_servers(self, workspace: str, numbers: list[int]) -> list[Seat]:
-        """Return the occupied slots to ask, in order of preference.
+        """Return the occupied seats to ask, in order of preference.
 
         Skips recently unreachable ones, unless all are.
         """
@@ -154,13 +154,13 @@
         last = self.granted_by.get(workspace)
         occupied.sort(key=lambda n: self.hash_order(workspace, n))
         occupied.sort(key=lambda n: table.seats[n].disk != last)
-        seats = [table.seats[n] for n in self.fanout.order_slots(occupied, table)]
+        seats = [table.seats[n] for n in self.fanout.order_seats(occupied, table)]
         now = time.monotonic()
         reachable = [s for s in seats if self.unreachable_until.get(s.disk, now) <= now]
         return reachable or seats
 
     def hash_order(self, workspace: str, number: int) -> bytes:
-        """Return a sort key for a slot that differs between boxes."""
+        """Return a sort key for a seat that differs between boxes."""
         text = f"{self.box}/{workspace}/{number}".encode()
         return blake2b(text, digest_size=8).digest()
 
--- a/src/cedarchute/turns/seat_book.py
+++ b/src/cedarchute/turns/seat_book.py
@@ -1,4 +1,4 @@
-"""Caches the newest replica table known to this box."""
+"""Caches the newest seat table known to this box."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SeatBook:
-    """Current replica table; only replaced by a newer version."""
+    """Current seat table; only replaced by a newer version."""
 
     def __init__(self) -> None:
         self.table: SeatTable = EMPTY_TABLE
@@ -25,7 +25,7 @@
             return False
         self.table = table
         log.info(
-            "Replica table updated.",
+            "Seat table updated.",
             extra={
                 "version": table.version,
                 "holders": [seat.box for seat in table.seats],
--- a/src/cedarchute/turns/seat_keeper.py
+++ b/src/cedarchute/turns/seat_keeper.py
@@ -1,4 +1,4 @@
-"""Acquires a slot for this replica, starts catch-up, and releases the slot again."""
+"""Acquires a seat for this holder, starts catch-up, and releases the seat again."""
 
 from __future__ import annotations
 
@@ -36,24 +36,24 @@
 log = logging.getLogger("cedarchute.turns")
 
 POLL_SECONDS: Final = 0.25
-# Used by a restarted replica with a complete disk until it serves again.
+# Used by a restarted holder with a complete disk until it serves again.
 STARTUP_POLL_SECONDS: Final = 0.02
-# How long replicas of a new system can add slots; later ones wait for a free slot.
+# How long holders of a new system can add seats; later ones wait for a free seat.
 JOIN_SECONDS: Final = 3.0
-# Extra wait for more replicas if there are fewer than ``2 * losses + 1``; nothing is
+# Extra wait for more holders if there are fewer than ``2 * losses + 1``; nothing is
 # served until then.
 UNDERSIZED_EXTRA_SECONDS: Final = 3.0
-# Spreads the table writes of the replicas of a new system, which would otherwise
+# Spreads the table writes of the holders of a new system, which would otherwise
 # conflict with each other.
 JITTER_SECONDS: Final = 1.0
-# A replica without a directory entry for this long is not just restarting.
+# A holder without a directory entry for this long is not just restarting.
 ABSENT_TIMEOUT_SECONDS: Final = 2.5
-# How long a retiring replica waits for a spare to take over its slot.
+# How long a retiring holder waits for a spare to take over its seat.
 SUCCESSOR_WAIT_SECONDS: Final = 2.0
 
 
 class SeatKeeper:
-    """Manages the slot of this replica; conflicts are resolved by compare-and-swap."""
+    """Manages the seat of this holder; conflicts are resolved by compare-and-swap."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         holder: Holder,
         identity: DiskIdentity,
         folder: Path,
-        own_slot: Seat,
+        own_seat: Seat,
         losses: int,
         catch_up: CatchUp,
         directory: BoxDirectory,
@@ -75,7 +75,7 @@
         self.holder = holder
         self.identity = identity
         self.folder = folder
-        self.own_slot = own_slot
+        self.own_seat = own_seat
         self.losses = losses
         self.catch_up = catch_up
         self.directory = directory
@@ -91,28 +91,28 @@
 
     def run_forever(self) -> None:
         """Run `step` periodically for the life of the process."""
-        share = zlib.crc32(self.own_slot.box.encode()) / 2**32
+        share = zlib.crc32(self.own_seat.box.encode()) / 2**32
         self.join_at = time.monotonic() + share * JITTER_SECONDS
         while True:
             try:
                 self.step()
             except StoreUnavailableError as error:
                 log.info(
-                    "Store unavailable; replica slot not changed.",
+                    "Store unavailable; seat not changed.",
                     extra={"why": str(error)},
                 )
             ready = self.holder.caught_up or not self.identity.complete
             eventlet.sleep(POLL_SECONDS if ready else STARTUP_POLL_SECONDS)
 
     def step(self) -> None:
-        """Run the next transition of this replica, if any."""
+        """Run the next transition of this holder, if any."""
         table = self.seats.table
-        if self.own_slot.box in self.retirements.asked:
+        if self.own_seat.box in self.retirements.asked:
             self.retire(table)
             return
-        number = table.find_disk(self.own_slot.disk)
+        number = table.find_disk(self.own_seat.disk)
         if number is None:
-            self.acquire_slot(table)
+            self.acquire_seat(table)
         elif not table.closed:
             self.close_table(table)
         elif not self.holder.caught_up:
@@ -129,28 +129,28 @@
             log.info("Caught up.", extra={"seat": number, "seconds": seconds})
         self.holder.caught_up = True
 
-    def acquire_slot(self, table: SeatTable) -> None:
-        """Reclaim the slot of this box, add a new slot, or take a free one."""
+    def acquire_seat(self, table: SeatTable) -> None:
+        """Reclaim the seat of this box, add a new seat, or take a free one."""
         if not table.closed and time.monotonic() < self.join_at:
             return
         if table.version == 0:
             empty = msgspec.structs.replace(EMPTY_TABLE, losses=self.losses)
-            self.write_table(empty.add_slot(self.own_slot))
+            self.write_table(empty.add_seat(self.own_seat))
             return
-        number = table.find_box(self.own_slot.box)
+        number = table.find_box(self.own_seat.box)
         if number is not None:
-            self.write_table(table.replace_seat(number, self.own_slot))
+            self.write_table(table.replace_seat(number, self.own_seat))
         elif not table.closed:
-            self.write_table(table.add_slot(self.own_slot))
+            self.write_table(table.add_seat(self.own_seat))
         else:
-            number = self.find_free_slot(table)
+            number = self.find_free_seat(table)
             if number is not None:
-                self.write_table(table.replace_seat(number, self.own_slot))
+                self.write_table(table.replace_seat(number, self.own_seat))
 
     def close_table(self, table: SeatTable) -> None:
-        """Make the number of slots final after the time to join has passed."""
+        """Make the number of seats final after the time to join has passed."""
         self.opened_at = self.opened_at or time.monotonic()
-        is_first = table.seats[0].disk == self.own_slot.disk
+        is_first = table.seats[0].disk == self.own_seat.disk
         open_seconds = JOIN_SECONDS + (0.0 if is_first else JITTER_SECONDS)
         enough = len(table.seats) >= 2 * self.losses + 1
         if not enough and self.may_run_undersized(table):
@@ -159,22 +159,22 @@
         if not enough or time.monotonic() - self.opened_at <= open_seconds:
             return
         facts = {"seats": len(table.seats), "losses": self.losses}
-        log.info("Number of replica slots is final.", extra=facts)
+        log.info("Number of seats is final.", extra=facts)
         self.write_table(table.close())
 
     def may_run_undersized(self, table: SeatTable) -> bool:
-        """Whether a smaller replica set is durable and no other replica can join.
+        """Whether a smaller set of holders is durable and no other holder can join.
 
-        With more replicas than tolerated failures no record is lost, though turns may
+        With more holders than tolerated failures no record is lost, though turns may
         be unavailable during failures.
         """
-        return len(table.seats) > self.losses and not self.has_spare_replica(table)
+        return len(table.seats) > self.losses and not self.has_spare_holder(table)
 
-    def find_free_slot(self, table: SeatTable) -> int | None:
-        """Return a slot that is vacant or whose replica is retiring or gone.
+    def find_free_seat(self, table: SeatTable) -> int | None:
+        """Return a seat that is vacant or whose holder is retiring or gone.
 
-        A directory entry can be missing although the replica is up, so the replica is
-        asked before its slot is taken. The one absent longest is checked first.
+        A directory entry can be missing although the holder is up, so the holder is
+        asked before its seat is taken. The one absent longest is checked first.
         """
         for number, seat in enumerate(table.seats):
             if seat.is_vacant or seat.box in self.retirements.asked:
@@ -191,7 +191,7 @@
         return None
 
     def update_absent(self, table: SeatTable) -> None:
-        """Update since when each box with a slot has had no directory entry."""
+        """Update since when each box with a seat has had no directory entry."""
         present = {box.name for box in self.directory.list_boxes(Role.HOLDER)}
         seated = {seat.box for seat in table.seats}
         now = time.monotonic()
@@ -202,7 +202,7 @@
             self.absent_since.setdefault(box, now)
 
     def is_unreachable(self, seat: Seat) -> bool:
-        """Return whether a replica gives no answer at all, not even a rejection."""
+        """Return whether a holder gives no answer at all, not even a rejection."""
         message = ReadAccount(table_version=0, disk=seat.disk, program="")
         try:
             self.client.ask(seat.address, "/turns/account", message, Account)
@@ -210,7 +210,7 @@
             return False
         except HolderUnavailableError as error:
             log.info(
-                "Replica is unreachable.", extra={"box": seat.box, "why": str(error)}
+                "Holder is unreachable.", extra={"box": seat.box, "why": str(error)}
             )
             return True
         return False
@@ -237,51 +237,49 @@
     def parse_stored(self, text: str) -> SeatTable:
         """Decode the table in the store; return the current one if it is invalid.
 
-        The next change by a replica with a table then repairs the store; one without a
+        The next change by a holder with a table then repairs the store; one without a
         table leaves it alone.
         """
         try:
             return read_seats(text)
         except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-            log.error(
-                "Replica table in the store is invalid.", extra={"why": str(error)}
-            )
+            log.error("Seat table in the store is invalid.", extra={"why": str(error)})
             return self.seats.table
 
     def retire(self, table: SeatTable) -> None:
-        """Release the slot, and copy all records to the other replicas."""
+        """Release the seat, and copy all records to the other holders."""
         if self.retired:
             return
-        self.retirements.tell_started(self.own_slot.box)
-        number = table.find_box(self.own_slot.box)
+        self.retirements.tell_started(self.own_seat.box)
+        number = table.find_box(self.own_seat.box)
         if number is None:
             self.retired = self.evacuation.run_once()
             if self.retired:
-                self.retirements.tell_completed(self.own_slot.box)
+                self.retirements.tell_completed(self.own_seat.box)
             return
-        if not self.can_vacate_slot(table):
+        if not self.can_vacate_seat(table):
             return
         self.retiring_since = self.retiring_since or time.monotonic()
         waited = time.monotonic() - self.retiring_since
-        if waited > SUCCESSOR_WAIT_SECONDS or not self.has_spare_replica(table):
+        if waited > SUCCESSOR_WAIT_SECONDS or not self.has_spare_holder(table):
             self.write_table(table.replace_seat(number, Seat()))
 
-    def can_vacate_slot(self, table: SeatTable) -> bool:
-        """Whether every program still has a quorum with one more vacant slot.
+    def can_vacate_seat(self, table: SeatTable) -> bool:
+        """Whether every program still has a quorum with one more vacant seat.
 
-        Otherwise this replica keeps serving until a spare takes a vacant slot.
+        Otherwise this holder keeps serving until a spare takes a vacant seat.
         """
         vacant = sum(seat.is_vacant for seat in table.seats)
         can_spare = vacant + 1 <= table.max_vacant
         if not can_spare and not self.has_warned:
             self.has_warned = True
             log.warning(
-                "Slot kept until another replica joins.", extra={"vacant": vacant}
+                "Seat kept until another holder joins.", extra={"vacant": vacant}
             )
         return can_spare
 
-    def has_spare_replica(self, table: SeatTable) -> bool:
-        """Whether a replica without a slot is available to take one over."""
+    def has_spare_holder(self, table: SeatTable) -> bool:
+        """Whether a holder without a seat is available to take one over."""
         spares = (box.name for box in self.directory.list_boxes(Role.HOLDER))
         return any(
             table.find_box(name) is None and name not in self.retirements.asked
--- a/src/cedarchute/turns/seat_table.py
+++ b/src/cedarchute/turns/seat_table.py
@@ -1,4 +1,4 @@
-"""Assigns the records of programs to replicas."""
+"""Assigns the records of programs to holders."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Seat(msgspec.Struct, frozen=True):
-    """A numbered position in the replica set, occupied by one replica or vacant.
+    """A numbered position in the set of holders, occupied by one holder or vacant.
 
     Attributes
     ----------
@@ -23,19 +23,19 @@
 
     @property
     def is_vacant(self) -> bool:
-        """Whether no box occupies the slot."""
+        """Whether no box occupies the seat."""
         return not self.box
 
 
 class SeatTable(msgspec.Struct, frozen=True):
-    """All slots, at one version of the table.
+    """All seats, at one version of the table.
 
     Attributes
     ----------
     closed : bool
-        Whether the number of slots is final; no program is stored before.
+        Whether the number of seats is final; no program is stored before.
     losses : int
-        Number of simultaneous replica failures to tolerate.
+        Number of simultaneous holder failures to tolerate.
     """
 
     version: int
@@ -45,15 +45,15 @@
 
     @property
     def replication_factor(self) -> int:
-        """Number of replicas of each program."""
+        """Number of holders of each program."""
         return min(2 * self.losses + 1, len(self.seats))
 
     @property
     def quorum(self) -> int:
-        """Number of replicas that have to answer.
+        """Number of holders that have to answer.
 
         Any two quorums intersect, and at least one member of each survives the
-        tolerated failures. With fewer than ``2 * losses + 1`` slots the latter needs
+        tolerated failures. With fewer than ``2 * losses + 1`` seats the latter needs
         more than a majority.
         """
         return max(
@@ -63,11 +63,11 @@
 
     @property
     def max_vacant(self) -> int:
-        """Number of vacant slots with which every program still has a quorum."""
+        """Number of vacant seats with which every program still has a quorum."""
         return self.replication_factor - self.quorum
 
-    def find_slots(self, program: str) -> list[int]:
-        """Return the slots of `program`, by rendezvous hashing."""
+    def find_seats(self, program: str) -> list[int]:
+        """Return the seats of `program`, by rendezvous hashing."""
         ranks = []
         for number in range(len(self.seats)):
             key = f"{program}/{number}".encode()
@@ -75,44 +75,44 @@
         return [number for _, number in sorted(ranks)[: self.replication_factor]]
 
     def list_occupied(self) -> list[int]:
-        """Return the numbers of the slots that are not vacant."""
+        """Return the numbers of the seats that are not vacant."""
         return [n for n, seat in enumerate(self.seats) if not seat.is_vacant]
 
     def count_for_absence(self) -> int:
-        """Return how many replicas must lack a record to prove that none has it.
+        """Return how many holders must lack a record to prove that none has it.
 
-        A vacant slot counts as a failure, since its last replica may have had a copy.
+        A vacant seat counts as a failure, since its last holder may have had a copy.
         """
         occupied = len(self.list_occupied())
         vacant = len(self.seats) - occupied
         return occupied - max(0, self.losses - vacant)
 
     def find_disk(self, disk: str) -> int | None:
-        """Return the slot of a disk, or None."""
+        """Return the seat of a disk, or None."""
         for number, seat in enumerate(self.seats):
             if seat.disk == disk:
                 return number
         return None
 
     def find_box(self, box: str) -> int | None:
-        """Return the slot of a box, or None."""
+        """Return the seat of a box, or None."""
         for number, seat in enumerate(self.seats):
             if seat.box == box:
                 return number
         return None
 
     def replace_seat(self, number: int, seat: Seat) -> SeatTable:
-        """Return the next version of the table, with `seat` in slot `number`."""
+        """Return the next version of the table, with `seat` at position `number`."""
         seats = (*self.seats[:number], seat, *self.seats[number + 1 :])
         return SeatTable(self.version + 1, self.closed, self.losses, seats)
 
-    def add_slot(self, seat: Seat) -> SeatTable:
-        """Return the next version of the table, with one more slot."""
+    def add_seat(self, seat: Seat) -> SeatTable:
+        """Return the next version of the table, with one more seat."""
         seats = (*self.seats, seat)
         return SeatTable(self.version + 1, self.closed, self.losses, seats)
 
     def close(self) -> SeatTable:
-        """Return the next version of the table, with a final number of slots."""
+        """Return the next version of the table, with a final number of seats."""
         return SeatTable(self.version + 1, True, self.losses, self.seats)
 
 
--- a/src/cedarchute/turns/seen_table.py
+++ b/src/cedarchute/turns/seen_table.py
@@ -23,8 +23,8 @@
 class SeenTable:
     """Monotonic table version that survives restarts.
 
-    Catch-up relies on no replica serving under an older table again. A restarted
-    replica may receive an older table first, from a box that is isolated from the
+    Catch-up relies on no holder serving under an older table again. A restarted
+    holder may receive an older table first, from a box that is isolated from the
     store.
     """
 
--- a/src/cedarchute/turns/turn_admission.py
+++ b/src/cedarchute/turns/turn_admission.py
@@ -1,4 +1,4 @@
-"""Results of admission requests to the replicas of a program."""
+"""Results of admission requests to the holders of a program."""
 
 from __future__ import annotations
 
--- a/src/cedarchute/turns/turn_book.py
+++ b/src/cedarchute/turns/turn_book.py
@@ -1,4 +1,4 @@
-"""State of all programs of one replica, in memory and on disk."""
+"""State of all programs of one holder, in memory and on disk."""
 
 from __future__ import annotations
 
--- a/src/cedarchute/turns/turn_quorum.py
+++ b/src/cedarchute/turns/turn_quorum.py
@@ -1,4 +1,4 @@
-"""Quorum reads and writes at the replicas of a program."""
+"""Quorum reads and writes at the holders of a program."""
 
 from __future__ import annotations
 
@@ -57,10 +57,10 @@
 
 
 class TurnQuorum:
-    """Reserves, reads and finishes turns at a quorum of their replicas.
+    """Reserves, reads and finishes turns at a quorum of their holders.
 
-    Any two quorums of a program share a replica. So of two concurrent reservations at
-    least one sees the other, and any quorum has a replica that knows a given
+    Any two quorums of a program share a holder. So of two concurrent reservations at
+    least one sees the other, and any quorum has a holder that knows a given
     completed turn.
     """
 
@@ -107,7 +107,7 @@
         previous: str,
         budget: int | None = None,
     ) -> dict[int, TurnBegun]:
-        """Write the reservation at a quorum; return the answers by slot."""
+        """Write the reservation at a quorum; return the answers by seat."""
         nearest = self.find_nearest(program)
 
         def build(table: SeatTable, number: int) -> BeginTurn:
@@ -139,7 +139,7 @@
     ) -> None:
         """Raise `BudgetSpentError` if the turn does not fit into the budget.
 
-        The sum over replicas is an upper bound of the tokens used. The accounts are
+        The sum over holders is an upper bound of the tokens used. The accounts are
         read and merged only if that exceeds the budget.
         """
         upper_bound = tokens + sum(answer.spent - tokens for answer in begun.values())
@@ -169,7 +169,7 @@
     def read_accounts(
         self, program: str, uses_full_timeout: bool = False
     ) -> dict[int, Account]:
-        """Read the accounts of a program at a quorum, by slot."""
+        """Read the accounts of a program at a quorum, by seat."""
 
         def build(table: SeatTable, number: int) -> ReadAccount:
             disk = table.seats[number].disk
@@ -224,21 +224,21 @@
         )
 
     def find_nearest(self, program: str) -> int | None:
-        """Return the slot to request texts from, in this failure domain if possible."""
+        """Return the seat to request texts from, in this failure domain if possible."""
         table = self.seats.table
         numbers = self.order_by_proximity(table, program)
         occupied = [n for n in numbers if not table.seats[n].is_vacant]
-        return next(iter(self.fanout.order_slots(occupied, table)), None)
+        return next(iter(self.fanout.order_seats(occupied, table)), None)
 
     def order_by_proximity(self, table: SeatTable, program: str) -> list[int]:
-        """Return the slots of a program, those in this failure domain first.
+        """Return the seats of a program, those in this failure domain first.
 
         Turns of a program usually arrive in one failure domain, and so use the same
-        replicas.
+        holders.
         """
         seats = table.seats
         return sorted(
-            table.find_slots(program),
+            table.find_seats(program),
             key=lambda n: seats[n].failure_domain != self.failure_domain,
         )
 
@@ -252,9 +252,9 @@
         preferred: int | None = None,
         uses_full_timeout: bool = False,
     ) -> dict[int, AnswerT]:
-        """Send a request to the replicas of a program; return a quorum of answers."""
+        """Send a request to the holders of a program; return a quorum of answers."""
 
-        def select_slots(table: SeatTable) -> list[int]:
+        def select_seats(table: SeatTable) -> list[int]:
             return self.order_by_proximity(table, program)
 
         def is_enough(table: SeatTable, answers: dict[int, AnswerT]) -> bool:
@@ -263,7 +263,7 @@
         request = FanoutRequest(
             path=path,
             answer=answer,
-            select_slots=select_slots,
+            select_seats=select_seats,
             build=build,
             is_enough=is_enough,
             count_initial=lambda table: table.quorum,
--- a/tests/turns/test_catch_up.py
+++ b/tests/turns/test_catch_up.py
@@ -16,7 +16,7 @@
 
 
 class ScriptedClient:
-    """Other replicas, with scripted answers."""
+    """Other holders, with scripted answers."""
 
     def __init__(self, table, states):
         self.table = table
@@ -55,14 +55,14 @@
 @pytest.mark.parametrize(
     ("losses", "states", "done"),
     [
-        # Only the silent replica may have a copy.
+        # Only the silent holder may have a copy.
         (1, (WHOLE, SILENT), False),
-        # This disk and the silent replica make up the two tolerated failures.
+        # This disk and the silent holder make up the two tolerated failures.
         (2, (WHOLE, WHOLE, WHOLE, SILENT), True),
         (2, (WHOLE, WHOLE, SILENT, SILENT), False),
-        # Two disks are lost; only the silent replica may have the third copy.
+        # Two disks are lost; only the silent holder may have the third copy.
         (2, (EMPTY, WHOLE, WHOLE, SILENT), False),
-        # All replicas answered, so nothing more can be copied.
+        # All holders answered, so nothing more can be copied.
         (1, (EMPTY, EMPTY), True),
         (1, (WHOLE, NEWER), False),
     ],
--- a/tests/turns/test_quota_client.py
+++ b/tests/turns/test_quota_client.py
@@ -43,7 +43,7 @@
     book.offer(SeatTable(1, True, 1, seats), "test")
     servers = FakeQuotaServers({})
     client = QuotaClient(HolderFanout(book, servers), servers, "box")
-    order = [seat.address for seat in client.order_servers("w", client.find_slots("w"))]
+    order = [seat.address for seat in client.order_servers("w", client.find_seats("w"))]
     servers.answers = dict(zip(order, answers, strict=True))
     return client, servers, order
 
--- a/tests/turns/test_seat_keeper.py
+++ b/tests/turns/test_seat_keeper.py
@@ -15,7 +15,7 @@
 
 
 class ScriptedClient:
-    """Replicas that reject requests or cannot be reached."""
+    """Holders that reject requests or cannot be reached."""
 
     def __init__(self, alive):
         self.alive = alive
@@ -43,7 +43,7 @@
         holder=SimpleNamespace(caught_up=False),
         identity=SimpleNamespace(complete=False),
         folder=None,
-        own_slot=Seat("new", "new", "disk-new", "a"),
+        own_seat=Seat("new", "new", "disk-new", "a"),
         losses=1,
         catch_up=None,
         directory=directory,
@@ -63,23 +63,23 @@
 
 def test_no_seat_is_taken_from_a_holder_that_is_registered(clock):
     keeper, table = make_keeper(("a", "b", "c"), ())
-    keeper.find_free_slot(table)
+    keeper.find_free_seat(table)
     clock.now += 60
-    assert keeper.find_free_slot(table) is None
+    assert keeper.find_free_seat(table) is None
 
 
 def test_a_holder_that_lost_its_entry_but_answers_keeps_its_seat(clock):
     keeper, table = make_keeper(("a",), ("b",))
-    assert keeper.find_free_slot(table) is None
+    assert keeper.find_free_seat(table) is None
     clock.now += seat_keeper.ABSENT_TIMEOUT_SECONDS + 1
-    assert keeper.find_free_slot(table) == 2
+    assert keeper.find_free_seat(table) == 2
 
 
 def test_a_restart_is_waited_for(clock):
     keeper, table = make_keeper(("a", "b"), ())
-    assert keeper.find_free_slot(table) is None
+    assert keeper.find_free_seat(table) is None
     clock.now += seat_keeper.ABSENT_TIMEOUT_SECONDS / 2
-    assert keeper.find_free_slot(table) is None
+    assert keeper.find_free_seat(table) is None
 
 
 def test_the_first_that_went_is_replaced_first(clock):
@@ -89,22 +89,22 @@
     keeper.directory.known.drop("a")
     keeper.update_absent(table)
     clock.now += seat_keeper.ABSENT_TIMEOUT_SECONDS + 1
-    assert keeper.find_free_slot(table) == 2
+    assert keeper.find_free_seat(table) == 2
 
 
 def test_the_seat_of_a_holder_to_be_emptied_is_free(clock):
     keeper, table = make_keeper(("a", "b", "c"), ("a", "b", "c"), asked=("b",))
-    assert keeper.find_free_slot(table) == 1
+    assert keeper.find_free_seat(table) == 1
 
 
 def join_new_table(keeper, boxes, losses):
-    """Give a manager the first slot of a new table; return the tables it writes."""
+    """Give a manager the first seat of a new table; return the tables it writes."""
     changes = []
     seats = tuple(Seat(box, box, f"disk-{box}", "a") for box in boxes)
     keeper.seats = SeatBook()
     keeper.seats.offer(SeatTable(1, False, losses, seats), "test")
     keeper.losses = losses
-    keeper.own_slot = seats[0]
+    keeper.own_seat = seats[0]
     keeper.write_table = changes.append
     return changes
 
@@ -154,9 +154,9 @@
 
 
 def retire(keeper, box):
-    """Make a manager that of a retiring replica; return the tables it writes."""
+    """Make a manager that of a retiring holder; return the tables it writes."""
     changes = []
-    keeper.own_slot = Seat(box, box, f"disk-{box}", "a")
+    keeper.own_seat = Seat(box, box, f"disk-{box}", "a")
     keeper.write_table = changes.append
     keeper.retirements = SimpleNamespace(asked={box}, tell_started=lambda box: None)
     return changes
@@ -176,7 +176,7 @@
         keeper.step()
         clock.now += seat_keeper.SUCCESSOR_WAIT_SECONDS + 1
     assert changes == []
-    # After a spare has taken the vacant slot, this one can be vacated.
+    # After a spare has taken the vacant seat, this one can be vacated.
     table = keeper.seats.table
     keeper.seats.offer(table.replace_seat(0, Seat("d", "d", "disk-d", "a")), "test")
     keeper.step()
--- a/tests/turns/test_turn_quorum.py
+++ b/tests/turns/test_turn_quorum.py
@@ -25,7 +25,7 @@
 
 
 class SlowClient:
-    """Replicas that answer after a fixed delay."""
+    """Holders that answer after a fixed delay."""
 
     def __init__(self, seconds):
         self.seconds = seconds
@@ -37,7 +37,7 @@
 
 
 class ScriptedClient:
-    """Replicas that have a turn, lack it, or do not answer."""
+    """Holders that have a turn, lack it, or do not answer."""
 
     def __init__(self, states):
         self.states = states
@@ -79,7 +79,7 @@
 
 
 def test_a_vacant_seat_is_one_of_those_that_may_be_lost():
-    # The vacated slot and the silent replica may have had the two copies.
+    # The vacated seat and the silent holder may have had the two copies.
     states = {"a": "lacks", "b": "lacks", "c": "silent"}
     quorum, _ = make_quorum(states, vacant=1)
     with pytest.raises(NoQuorumError):
@@ -115,7 +115,7 @@
 
 @pytest.fixture
 def slow(monkeypatch):
-    """A quorum client on an isolated box, with replicas slower than its timeout."""
+    """A quorum client on an isolated box, with holders slower than its timeout."""
     monkeypatch.setattr(turn_quorum, "ANSWER_SECONDS", 5.0)
     monkeypatch.setattr(holder_fanout, "ISOLATED_TIMEOUT_SECONDS", 0.01)
     quorum, _ = make_quorum(dict.fromkeys("abc", "has"))
