--- a/src/cedarchute/turns/seat_book.py
+++ b/src/cedarchute/turns/active_seat_table.py
@@ -13,13 +13,13 @@
 log = logging.getLogger("cedarchute.turns")
 
 
-class SeatBook:
+class ActiveSeatTable:
     """Current seat table; only replaced by a newer version."""
 
     def __init__(self) -> None:
         self.table: SeatTable = EMPTY_TABLE
 
-    def offer(self, table: SeatTable, source: str) -> bool:
+    def update(self, table: SeatTable, source: str) -> bool:
         """Install `table` if it is newer; return whether it was."""
         if table.version <= self.table.version:
             return False
--- a/src/cedarchute/turns/catch_up.py
+++ b/src/cedarchute/turns/catch_up.py
@@ -13,10 +13,10 @@
 from cedarchute.turns.messages import CopiedRecords, CopyRecords
 
 if TYPE_CHECKING:
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.holder_client import HolderClient
-    from cedarchute.turns.seat_book import SeatBook
     from cedarchute.turns.seat_table import Seat, SeatTable
-    from cedarchute.turns.turn_book import TurnBook
+    from cedarchute.turns.turn_storage import TurnStorage
 
 log = logging.getLogger("cedarchute.turns")
 
@@ -37,7 +37,9 @@
     answers, so no write under the old table can be acknowledged afterwards.
     """
 
-    def __init__(self, client: HolderClient, book: TurnBook, seats: SeatBook) -> None:
+    def __init__(
+        self, client: HolderClient, book: TurnStorage, seats: ActiveSeatTable
+    ) -> None:
         self.client = client
         self.book = book
         self.seats = seats
@@ -71,7 +73,7 @@
                 )
             except HolderRefusedError as error:
                 if error.refusal.table is not None:
-                    self.seats.offer(error.refusal.table, seat.box)
+                    self.seats.update(error.refusal.table, seat.box)
                 if error.refusal.is_empty:
                     return CopyOutcome.EMPTY
                 return CopyOutcome.SILENT
@@ -82,7 +84,7 @@
                 )
                 return CopyOutcome.SILENT
             if page.records:
-                self.book.take(list(page.records))
+                self.book.write(list(page.records))
             count += len(page.records)
             after = page.next
             if not after:
--- a/src/cedarchute/turns/turn_writer.py
+++ b/src/cedarchute/turns/group_commit_writer.py
@@ -18,7 +18,7 @@
 log = logging.getLogger("cedarchute.turns")
 
 
-class TurnWriter:
+class GroupCommitWriter:
     """Writes records in one task; those that arrive meanwhile share the next sync."""
 
     def __init__(self, journal: TurnJournal, metrics: Metrics) -> None:
--- a/src/cedarchute/turns/holder.py
+++ b/src/cedarchute/turns/holder.py
@@ -16,6 +16,7 @@
 from cedarchute.turns.records import Reserved
 
 if TYPE_CHECKING:
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.messages import (
         Addressed,
         AskStanding,
@@ -26,10 +27,9 @@
         TakeRecords,
     )
     from cedarchute.turns.records import Record, Turn
-    from cedarchute.turns.seat_book import SeatBook
     from cedarchute.turns.seat_table import SeatTable
-    from cedarchute.turns.seen_table import SeenTable
-    from cedarchute.turns.turn_book import TurnBook
+    from cedarchute.turns.seat_version_file import SeatVersionFile
+    from cedarchute.turns.turn_storage import TurnStorage
 
 PAGE_BYTES: Final = 1_000_000
 
@@ -60,7 +60,11 @@
     """Serves requests made under the newest table; rejects all until caught up."""
 
     def __init__(
-        self, book: TurnBook, seats: SeatBook, disk: str, seen: SeenTable
+        self,
+        book: TurnStorage,
+        seats: ActiveSeatTable,
+        disk: str,
+        seen: SeatVersionFile,
     ) -> None:
         self.book = book
         self.seats = seats
@@ -97,7 +101,7 @@
         )
         state = self.book.get_or_create(message.program)
         state.mark_asked()
-        self.book.take([reserved])
+        self.book.write([reserved])
         age = state.age_seconds
         if not message.previous:
             return TurnBegun(state.spent, budget=state.budget, age_seconds=age)
@@ -111,7 +115,7 @@
     def take_records(self, message: TakeRecords) -> RecordsTaken:
         """Store records durably."""
         self.check_addressee(message)
-        self.book.take(list(message.records))
+        self.book.write(list(message.records))
         return RecordsTaken()
 
     def read_account(self, message: ReadAccount) -> Account:
@@ -137,7 +141,7 @@
 
     def copy_records(self, message: CopyRecords) -> CopiedRecords:
         """Return a page of the records of one seat to its new holder."""
-        self.seats.offer(message.table, "holder")
+        self.seats.update(message.table, "holder")
         if message.table.version < self.seats.table.version:
             raise HolderError("the table of seats is old", self.seats.table)
         self.persist_table_version()
--- a/src/cedarchute/turns/holder_fanout.py
+++ b/src/cedarchute/turns/holder_fanout.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from cedarchute.turns.active_seat_table import ActiveSeatTable
     from cedarchute.turns.holder_client import HolderClient
-    from cedarchute.turns.seat_book import SeatBook
     from cedarchute.turns.seat_table import Seat, SeatTable
 
 log = logging.getLogger("cedarchute.turns")
@@ -27,17 +27,17 @@
 AnswerT = TypeVar("AnswerT")
 
 # Delay between two rounds when too few holders answered.
-PAUSE_SECONDS: Final = 0.1
+RETRY_DELAY_SECONDS: Final = 0.1
 # Extra wait for the preferred holder once the quorum has answered; about the cost of
 # a separate request for the chain's text.
-WANTED_SECONDS: Final = 0.01
+PREFERRED_WAIT_SECONDS: Final = 0.01
 # Delay before a hedged request to another holder; longer than a synced write takes.
 HEDGE_SECONDS: Final = 0.04
 # How long a late holder is asked last.
 LATE_SECONDS: Final = 2.0
 # After this long without a quorum, this box counts as isolated from the holders, and
 # callers should use another box.
-CUT_OFF_SECONDS: Final = 0.5
+ISOLATED_AFTER_SECONDS: Final = 0.5
 # Timeout of an isolated box for requests whose caller can retry at another box; enough
 # to notice that holders answer again.
 ISOLATED_TIMEOUT_SECONDS: Final = 0.1
@@ -96,18 +96,18 @@
 class HolderFanout:
     """Sends requests under the newest table, and updates it from rejections."""
 
-    def __init__(self, seats: SeatBook, client: HolderClient) -> None:
+    def __init__(self, seats: ActiveSeatTable, client: HolderClient) -> None:
         self.seats = seats
         self.client = client
         self.failing_since: float | None = None
         self.late: dict[str, float] = {}
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether requests have failed to reach a quorum for a while."""
         if self.failing_since is None:
             return False
-        return time.monotonic() - self.failing_since > CUT_OFF_SECONDS
+        return time.monotonic() - self.failing_since > ISOLATED_AFTER_SECONDS
 
     def mark_unreachable(self) -> None:
         """Record that holders did not answer a request sent outside this fanout."""
@@ -122,7 +122,7 @@
             If there is no seat table yet, or too few answers before the timeout.
         """
         started = time.monotonic()
-        gives_up_early = self.is_cut_off and not request.uses_full_timeout
+        gives_up_early = self.is_isolated and not request.uses_full_timeout
         seconds = ISOLATED_TIMEOUT_SECONDS if gives_up_early else request.seconds
         deadline = started + seconds
         while True:
@@ -134,9 +134,9 @@
                 self.failing_since = None
                 return answers
             self.failing_since = self.failing_since or started
-            if not is_old and time.monotonic() + PAUSE_SECONDS > deadline:
+            if not is_old and time.monotonic() + RETRY_DELAY_SECONDS > deadline:
                 raise NoQuorumError(f"only {len(answers)} holders answer")
-            eventlet.sleep(0 if is_old else PAUSE_SECONDS)
+            eventlet.sleep(0 if is_old else RETRY_DELAY_SECONDS)
 
     def ask_once(
         self, table: SeatTable, request: FanoutRequest[AnswerT], deadline: float
@@ -157,7 +157,7 @@
                 continue
             if request.preferred is None or request.preferred in answers:
                 break
-            deadline = min(deadline, time.monotonic() + WANTED_SECONDS)
+            deadline = min(deadline, time.monotonic() + PREFERRED_WAIT_SECONDS)
         return answers, is_old
 
     def order_seats(self, numbers: list[int], table: SeatTable) -> list[int]:
@@ -187,7 +187,7 @@
             value = self.client.ask(seat.address, request.path, message, request.answer)
         except HolderRefusedError as error:
             table = error.refusal.table
-            newer = table is not None and self.seats.offer(table, seat.box)
+            newer = table is not None and self.seats.update(table, seat.box)
             self.mark_late(seat)
             log.info(
                 "Holder rejected the request.",
--- a/src/cedarchute/turns/quota_client.py
+++ b/src/cedarchute/turns/quota_client.py
@@ -35,7 +35,7 @@
 CACHE_SIZE: Final = 1024
 
 
-class NoKeeperError(Exception):
+class NoQuotaServerError(Exception):
     """No quota server of the workspace answered."""
 
     code = "no_keeper"
@@ -88,7 +88,7 @@
 
         Raises
         ------
-        NoKeeperError
+        NoQuotaServerError
             If no quota server can be reached.
         """
         kind = (workspace, begins_program)
@@ -96,8 +96,8 @@
         refusal = self.cached_refusals.get(kind)
         if refusal is not None and now < refusal.expires_at:
             return QuotaGrant(False, refusal.next_call_at - now, refusal.level)
-        if self.fanout.is_cut_off:
-            raise NoKeeperError("this box is cut off from the holders")
+        if self.fanout.is_isolated:
+            raise NoQuotaServerError("this box is cut off from the holders")
         numbers = self.find_seats(workspace)
         message = AskQuota(
             workspace=workspace,
@@ -120,7 +120,7 @@
         if not answers:
             # Later calls fail fast, and callers are sent to another box.
             self.fanout.mark_unreachable()
-            raise NoKeeperError(f"none of {len(seats)} keepers answers")
+            raise NoQuotaServerError(f"none of {len(seats)} keepers answers")
         seat, soonest = min(answers, key=lambda pair: pair[1].wait_seconds)
         if not begins_program and soonest.wait_seconds <= patience_seconds:
             patient = replace(message, patience_seconds=patience_seconds)
--- a/src/cedarchute/turns/quota_keeper.py
+++ b/src/cedarchute/turns/quota_server.py
@@ -17,7 +17,7 @@
 MAX_SHARES: Final = 4096
 
 
-class QuotaKeeper:
+class QuotaServer:
     """Serves quota requests; a share is created on its first request."""
 
     def __init__(self, tolerance: QuotaTolerance, clock: Clock) -> None:
@@ -41,6 +41,6 @@
             if len(self.shares) > MAX_SHARES:
                 self.shares.popitem(last=False)
         self.shares.move_to_end(message.workspace)
-        share.note_limit(limit)
-        grant = share.ask(message.begins_program, message.patience_seconds)
+        share.update_limit(limit)
+        grant = share.acquire(message.begins_program, message.patience_seconds)
         return QuotaAnswered(grant.granted, grant.wait_seconds, grant.level)
--- a/src/cedarchute/turns/seen_table.py
+++ b/src/cedarchute/turns/seat_version_file.py
@@ -20,7 +20,7 @@
     version: int
 
 
-class SeenTable:
+class SeatVersionFile:
     """Monotonic table version that survives restarts.
 
     Catch-up relies on no holder serving under an older table again. A restarted
--- a/src/cedarchute/turns/turn_admission.py
+++ b/src/cedarchute/turns/turn_admission.py
@@ -19,7 +19,7 @@
     age_seconds: float | None = None
 
 
-class ProgramStanding(Record):
+class ProgramUsage(Record):
     """Tokens used or reserved, and the time since the first request."""
 
     spent: int
--- a/src/cedarchute/turns/turn_book.py
+++ b/src/cedarchute/turns/turn_storage.py
@@ -9,14 +9,14 @@
 from cedarchute.turns.records import Turn
 
 if TYPE_CHECKING:
+    from cedarchute.turns.group_commit_writer import GroupCommitWriter
     from cedarchute.turns.records import Record
-    from cedarchute.turns.turn_writer import TurnWriter
 
 
-class TurnBook:
+class TurnStorage:
     """Applies records in memory and appends them to the journal."""
 
-    def __init__(self, writer: TurnWriter) -> None:
+    def __init__(self, writer: GroupCommitWriter) -> None:
         self.writer = writer
         self.programs: dict[str, ProgramState] = {}
         self.program_by_turn: dict[str, str] = {}
@@ -60,7 +60,7 @@
             found = self.programs[program] = ProgramState()
         return found
 
-    def take(self, records: list[Record]) -> None:
+    def write(self, records: list[Record]) -> None:
         """Apply records, and return once they are durable.
 
         Known records are written again, since their first write may have failed.
@@ -69,7 +69,7 @@
             self.apply(record)
         self.writer.write(records)
 
-    def drop_over(self) -> int:
+    def drop_expired(self) -> int:
         """Drop programs past their retention time; return their number."""
         now = time.monotonic()
         expired = [p for p, state in self.programs.items() if state.is_expired(now)]
