--- a/src/cedarchute/programs/__init__.py
+++ b/src/cedarchute/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Programs: their records, their order, their budget and their end."""
+"""Program state, call execution, budgets and program lifecycle."""
--- a/src/cedarchute/programs/adopter.py
+++ b/src/cedarchute/programs/adopter.py
@@ -1,4 +1,4 @@
-"""Goes on with programs that this box has taken over."""
+"""Resumes programs after this box has taken them over."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from cedarchute.operators.site_file import ServiceKind
 from cedarchute.problem import Problem
 from cedarchute.programs.call_run import CallRun
-from cedarchute.programs.dispatch import Dispatch
+from cedarchute.programs.dispatch import DispatchedCall
 from cedarchute.programs.records import CallFinished, TakenOver
 from cedarchute.verdict import Verdict
 
 if TYPE_CHECKING:
     from cedarchute.metrics import Metrics
-    from cedarchute.programs.call_entry import CallEntry
+    from cedarchute.programs.call_entry import CallState
     from cedarchute.programs.dispatcher import Dispatcher
     from cedarchute.programs.home import ProgramHome
     from cedarchute.programs.program import Program
@@ -24,12 +24,12 @@
 
 
 class Adopter:
-    """Records the takeover of a program, then brings its open calls to an outcome.
+    """Records the takeover of a program and resolves its open calls.
 
     Parameters
     ----------
     box : str
-        The identity of this box, written into the records of a takeover.
+        The identity of this box, stored in the takeover record.
     """
 
     def __init__(
@@ -45,21 +45,21 @@
         self.metrics = metrics
 
     def adopt(self, program: Program) -> None:
-        """Go on with a program that this box has taken over.
+        """Resume a program that this box has taken over.
 
-        An open call that may not be repeated is never sent again: its caller gets
-        ``may have run``. A model's stream is read on at the engine.
+        An open call that is not repeatable is not sent again: its caller gets the
+        verdict ``may have run``. The stream of a model call is resumed at the engine.
         """
         runs = {}
-        for entry in program.open_calls:
-            run = CallRun(entry.key, entry.digest, entry.attempt)
-            runs[entry.key] = program.runs[entry.key] = run
+        for call_state in program.open_calls:
+            run = CallRun(call_state.key, call_state.digest, call_state.attempt)
+            runs[call_state.key] = program.runs[call_state.key] = run
         try:
             with program.order:
-                self.home.append_surely(program, [TakenOver(owner=self.box)])
+                self.home.append_until_replicated(program, [TakenOver(owner=self.box)])
                 program.is_ready = True
-                for entry in list(program.open_calls):
-                    self.finish_adopted(program, entry, runs[entry.key])
+                for call_state in list(program.open_calls):
+                    self.resolve_open_call(program, call_state, runs[call_state.key])
         except (Problem, PartitionMovedError) as error:
             log.info("Takeover of %s interrupted: %s.", program.id, error)
             for run in runs.values():
@@ -71,26 +71,28 @@
             for listener in self.home.ended_listeners:
                 listener(program)
 
-    def finish_adopted(self, program: Program, entry: CallEntry, run: CallRun) -> None:
-        """Bring one open call of a program taken over to its outcome."""
-        if entry.kind is ServiceKind.PLAIN and not entry.repeatable:
+    def resolve_open_call(
+        self, program: Program, call_state: CallState, run: CallRun
+    ) -> None:
+        """Determine and record the outcome of one open call."""
+        if call_state.kind is ServiceKind.PLAIN and not call_state.repeatable:
             self.metrics.count("takeover.may_have_run")
             outcome = CallFinished(
-                key=entry.key,
+                key=call_state.key,
                 verdict=Verdict.MAY_HAVE_RUN,
                 status=502,
                 finish_reason="error",
-                tokens=entry.reserved_tokens,
+                tokens=call_state.reserved_tokens,
                 code="outcome_unknown",
                 detail="The box that sent the call was lost before its outcome was "
                 "kept; the call may have run and is not sent again.",
             )
         else:
-            intent = program.read_intent(entry)
-            call = Dispatch(program, intent, entry, run)
-            is_model = entry.kind is ServiceKind.MODEL
+            intent = program.read_intent(call_state)
+            call = DispatchedCall(program, intent, call_state, run)
+            is_model = call_state.kind is ServiceKind.MODEL
             outcome = self.dispatcher.dispatch(
                 call, is_resumed=is_model, may_have_run=True
             )
-        self.home.append_surely(program, [outcome])
+        self.home.append_until_replicated(program, [outcome])
         run.finish(outcome)
--- a/src/cedarchute/programs/budget.py
+++ b/src/cedarchute/programs/budget.py
@@ -1,4 +1,4 @@
-"""What a program may spend."""
+"""The resource limits of a program."""
 
 from __future__ import annotations
 
@@ -8,10 +8,17 @@
 
 
 class Budget(Message):
-    """Bounds of one program, its sub-agents included.
+    """Limits of one program, including its sub-agents.
 
-    `tokens` counts generated tokens and new input, one input token for each four
-    bytes; text that is read again by a later turn is not counted again.
+    Attributes
+    ----------
+    tokens : int
+        Generated tokens plus new input tokens, estimated at four bytes per token.
+        History that a later call sends again is not counted again.
+    calls : int
+        Number of calls, without those whose verdict is ``not run``.
+    seconds : float
+        Wall-clock time from opening to the deadline.
     """
 
     tokens: int = Field(ge=1)
--- a/src/cedarchute/programs/budget_split.py
+++ b/src/cedarchute/programs/budget_split.py
@@ -1,4 +1,4 @@
-"""What budget a new program gets."""
+"""Resolution of the budget of a new program."""
 
 from __future__ import annotations
 
@@ -12,12 +12,18 @@
     from cedarchute.programs.requests import OpenRequest
 
 
-def make_budget(request: OpenRequest, section: WorkspaceSection) -> Budget:
-    """Return the budget asked for, bounded by that of the workspace."""
-    asked = request.budget
-    tokens = asked.tokens or section.program_tokens
-    calls = asked.calls or section.program_calls
-    seconds = asked.seconds or section.program_seconds
+def resolve_budget(request: OpenRequest, section: WorkspaceSection) -> Budget:
+    """Return the requested budget; omitted limits default to those of the workspace.
+
+    Raises
+    ------
+    Problem
+        ``budget_too_large`` when a limit exceeds that of the workspace.
+    """
+    requested = request.budget
+    tokens = requested.tokens or section.program_tokens
+    calls = requested.calls or section.program_calls
+    seconds = requested.seconds or section.program_seconds
     if (
         tokens > section.program_tokens
         or calls > section.program_calls
--- a/src/cedarchute/programs/cache_mover.py
+++ b/src/cedarchute/programs/cache_mover.py
@@ -1,4 +1,4 @@
-"""Moves a program's cache from one engine to another instead of computing it."""
+"""Migration of a program's KV cache between engines."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 
 
 class CacheMover:
-    """Exports from the engine that has most of a program, before its next call.
+    """Migrates the cache of a program to the target of its next call.
 
-    The records name the new engine before anything is imported there, so that the
-    release at the program's end reaches it whichever box is the home by then.
-    A move that fails costs time and nothing else: the engine computes the prompt.
+    The cache is exported from the engine that holds the most of it. The record that
+    names the new target is replicated before the import, so that the cache is released
+    at the program's end whichever box owns the program by then. When a migration
+    fails, the engine computes the prompt again.
     """
 
     def __init__(
@@ -43,40 +44,40 @@
         self.metrics = metrics
 
     def prepare(self, program: Program, target: TargetState) -> None:
-        """Bring a program's cache to the target of its next call, if that pays."""
+        """Migrate the cache to `target` if that is faster than recomputing it."""
         site = self.configuration.site
         if site is None or not site.is_program_aware:
             return
-        here = max(
+        local_tokens = max(
             program.cached.get(target.name, 0),
             self.index.count_held_tokens(program.prefixes, target.name),
         )
-        source, tokens = self.find_source(program, target)
-        if source is None or not is_worth_moving(target, here, tokens):
+        source, tokens = self.find_source_engine(program, target)
+        if source is None or not is_worth_moving(target, local_tokens, tokens):
             return
-        asked = source
+        engine = source
         try:
             exported = self.engines.export_cache(source.section.address, program.id)
-            asked = target
+            engine = target
             self.engines.import_cache(target.section.address, exported)
         except TargetError as error:
             self.metrics.count("cache.move_failed")
-            log.info("Cache of %s not moved: %s.", program.id, error)
-            # Or the next program would wait for the same engine in vain.
-            self.book.rest(asked)
+            log.info("Cache migration of %s failed: %s.", program.id, error)
+            # Keeps the next program from waiting for the same failing engine.
+            self.book.rest(engine)
             return
         self.metrics.count("cache.moved")
 
-    def find_source(
+    def find_source_engine(
         self, program: Program, target: TargetState
     ) -> tuple[TargetState | None, int]:
-        """Return the sound engine with the most cache, and how many tokens."""
-        best: TargetState | None = None
-        most = 0
+        """Return the healthy engine with the most cached tokens, and their number."""
+        best_source: TargetState | None = None
+        most_tokens = 0
         for name, tokens in program.cached.items():
             source = self.book.find(name)
             if source is None or source is target or source.failures:
                 continue
-            if tokens > most:
-                best, most = source, tokens
-        return best, most
+            if tokens > most_tokens:
+                best_source, most_tokens = source, tokens
+        return best_source, most_tokens
--- a/src/cedarchute/programs/cache_sweeper.py
+++ b/src/cedarchute/programs/cache_sweeper.py
@@ -1,4 +1,4 @@
-"""Compares what engines hold with the programs that live."""
+"""Garbage collection of the caches that engines hold for programs."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 
 
 class LivesRequest(Message):
-    """Asks a program's home which of some programs still need their cache."""
+    """Asks the owner of a partition which of these programs are still open."""
 
     partition: str
     programs: tuple[str, ...]
 
 
-class LivesReply(Message):
-    """The programs that do; `known` is false when the box cannot tell."""
+class LiveProgramsReply(Message):
+    """The open programs; `known` is false if the box has no state to answer from."""
 
     known: bool
     living: tuple[str, ...] = ()
 
 
 class CacheSweeper:
-    """Releases what no living program needs; one box sweeps each engine.
+    """Releases caches that belong to no open program.
 
-    Every engine of the accepted file has its turn, also those that the box that
-    sweeps it sends no work to.
+    The ring assigns each engine of the accepted site file to one box, whether or not
+    that box sends calls to it.
 
-    This finds what the confirmed releases miss: a program whose records were lost
-    or an engine that started work after its release.
+    The sweep covers what `Releaser` misses: programs whose records were lost, and
+    engines that processed a call after they had confirmed the release.
     """
 
     def __init__(
@@ -75,13 +75,13 @@
         self.metrics = metrics
 
     def sweep_forever(self) -> None:
-        """Sweep in each period."""
+        """Sweep periodically."""
         while True:
             eventlet.sleep(self.seconds)
             self.sweep_once()
 
     def sweep_once(self) -> None:
-        """Sweep this box's share of the engines."""
+        """Sweep the engines that the ring assigns to this box."""
         site = self.configuration.site
         if site is None:
             return
@@ -92,14 +92,14 @@
                 self.sweep(target)
 
     def sweep(self, target: TargetSection) -> None:
-        """Release on one engine what no program needs."""
+        """Release the orphaned caches of one engine."""
         try:
-            held = self.engines.read_held(target.address)
+            held_programs = self.engines.read_held(target.address)
         except TargetError:
             return
         by_partition: dict[str, list[str]] = {}
         now = self.clock.wall()
-        for program in held:
+        for program in held_programs:
             if is_shared_name(program):
                 if is_shared_name_over(program, now):
                     self.release(target, program)
@@ -109,24 +109,26 @@
             except Problem:
                 continue
         for partition, programs in by_partition.items():
-            living = self.ask_living(partition, programs)
-            if living is None:
+            open_programs = self.fetch_live_programs(partition, programs)
+            if open_programs is None:
                 continue
             for program in programs:
-                if program not in living:
+                if program not in open_programs:
                     self.release(target, program)
 
     def release(self, target: TargetSection, program: str) -> None:
-        """Release one program; the next sweep tries again if that fails."""
+        """Release the cache of one program; the next sweep retries a failure."""
         try:
             self.engines.release(target.address, program)
             self.metrics.count("release.swept")
-            log.info("Swept %s on %s.", program, target.address)
+            log.info("Released orphaned cache of %s on %s.", program, target.address)
         except TargetError:
             self.metrics.count_retry("release_swept")
 
-    def ask_living(self, partition: str, programs: list[str]) -> set[str] | None:
-        """Return which programs live, or None when nobody can tell now."""
+    def fetch_live_programs(
+        self, partition: str, programs: list[str]
+    ) -> set[str] | None:
+        """Return the open programs, or None when the owner cannot be asked."""
         record = self.view.partitions.get(partition)
         if record is None:
             return set() if self.view.is_replaced(partition) else None
@@ -139,20 +141,20 @@
                 reply = self.on_lives(request)
             else:
                 reply = self.client.send(
-                    owner.peer_address, "lives", request, LivesReply
+                    owner.peer_address, "lives", request, LiveProgramsReply
                 )
         except PeerError:
             return None
         return set(reply.living) if reply.known else None
 
-    def on_lives(self, request: LivesRequest) -> LivesReply:
-        """Say which programs need their cache."""
+    def on_lives(self, request: LivesRequest) -> LiveProgramsReply:
+        """Answer which of the programs are open on this box."""
         partition = self.home.replicator.partitions.get(request.partition)
         if partition is None or partition.is_lost or partition.is_recovering:
-            return LivesReply(known=False)
-        living = []
+            return LiveProgramsReply(known=False)
+        open_programs = []
         for program_id in request.programs:
             program = self.home.programs.get(program_id)
             if program is not None and program.ended is None:
-                living.append(program_id)
-        return LivesReply(known=True, living=tuple(living))
+                open_programs.append(program_id)
+        return LiveProgramsReply(known=True, living=tuple(open_programs))
--- a/src/cedarchute/programs/call_entry.py
+++ b/src/cedarchute/programs/call_entry.py
@@ -1,4 +1,4 @@
-"""What a program's state keeps of one call."""
+"""The in-memory state of one recorded call."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 @dataclass
-class CallEntry:
-    """A call without its texts, which stay in the log.
+class CallState:
+    """A recorded call without its message texts, which are read from the log.
 
     Attributes
     ----------
     intent_index, finish_index : int
-        Where in the log the intent and the outcome are; -1 for none.
+        Log indexes of the intent and of the outcome; -1 if there is none yet.
     """
 
     key: str
@@ -36,5 +36,5 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the outcome is not known yet."""
+        """Whether no outcome has been recorded yet."""
         return self.finish_index < 0
--- a/src/cedarchute/programs/call_run.py
+++ b/src/cedarchute/programs/call_run.py
@@ -1,4 +1,4 @@
-"""A call under way on this box, which any number of readers may follow."""
+"""A call in progress on this box, streamed to any number of readers."""
 
 from __future__ import annotations
 
@@ -14,21 +14,25 @@
 
 
 class CallRun:
-    """The text so far and, at the end, the outcome.
+    """Buffers the answer of a call and, at its end, the outcome.
 
-    The run does not depend on the connection of any caller: a caller that goes
-    away and comes back reads on where it stopped.
+    A run is independent of caller connections: a caller that reconnects resumes
+    reading at its offset.
 
     Attributes
     ----------
     attempt : int
-        Goes up when the answer starts again from its beginning.
-    parts, ends : list
+        Number of the attempt; it changes when the answer restarts.
+    chunks, chunk_ends : list
         The pieces of the text, and the length of the text after each of them.
+    length : int
+        Length of the text in characters.
     deadline : float
-        Wall clock time after which the call is not started any more.
+        Wall-clock time after which the call is no longer started.
     request_id : str
-        Of the request that started it, for the logs.
+        ID of the request that started the run, for log lines.
+    is_moved : bool
+        Whether the run ended because another box owns the program now.
     """
 
     def __init__(
@@ -39,76 +43,76 @@
         self.deadline = deadline
         self.request_id = ""
         self.attempt = attempt
-        self.parts: list[str] = []
-        self.ends: list[int] = []
+        self.chunks: list[str] = []
+        self.chunk_ends: list[int] = []
         self.length = 0
         self.outcome: CallFinished | None = None
         self.problem: Problem | None = None
         self.is_moved = False
         self.is_cancelled = False
-        self.progress = Event()
-        self.waiting = 0
+        self.progress_event = Event()
+        self.waiter_count = 0
 
     @property
     def is_done(self) -> bool:
-        """Whether nothing more will come from this run."""
+        """Whether the run has ended."""
         return self.outcome is not None or self.problem is not None or self.is_moved
 
     @property
     def text(self) -> str:
-        """The text so far."""
-        return "".join(self.parts)
+        """The text received so far."""
+        return "".join(self.chunks)
 
     def read_from(self, offset: int) -> str:
-        """Return the text from `offset` characters on."""
-        first = bisect_right(self.ends, offset)
-        text = "".join(self.parts[first:])
+        """Return the text after the first `offset` characters."""
+        first = bisect_right(self.chunk_ends, offset)
+        text = "".join(self.chunks[first:])
         return text[len(text) - (self.length - offset) :] if text else ""
 
     def add(self, text: str) -> None:
-        """Add text that the engine streamed."""
-        self.parts.append(text)
+        """Append text that the engine streamed."""
+        self.chunks.append(text)
         self.length += len(text)
-        self.ends.append(self.length)
-        self._wake()
+        self.chunk_ends.append(self.length)
+        self._notify()
 
     def restart(self, attempt: int) -> None:
-        """Start the answer again from its beginning."""
+        """Discard the text and start a new attempt."""
         self.attempt = attempt
-        self.parts = []
-        self.ends = []
+        self.chunks = []
+        self.chunk_ends = []
         self.length = 0
-        self._wake()
+        self._notify()
 
     def finish(self, outcome: CallFinished) -> None:
-        """Set the outcome, which holders have by now."""
+        """End the run with an outcome that is already replicated."""
         self.outcome = outcome
-        self._wake()
+        self._notify()
 
     def fail(self, problem: Problem) -> None:
-        """End without an outcome: nothing was recorded, or it is in doubt."""
+        """End the run with an error: no outcome was recorded, or that is unknown."""
         self.problem = problem
-        self._wake()
+        self._notify()
 
     def move(self) -> None:
-        """End because another box orders the program's calls now."""
+        """End the run because another box owns the program now."""
         if not self.is_done:
             self.is_moved = True
-            self._wake()
+            self._notify()
 
     def wait(self, seconds: float) -> bool:
-        """Wait for progress; return False when none came in time."""
+        """Wait for new text or the end; return False on timeout."""
         if self.is_done:
             return True
-        event = self.progress
-        self.waiting += 1
+        event = self.progress_event
+        self.waiter_count += 1
         with eventlet.Timeout(seconds, False):
             event.wait()
             return True
         return False
 
-    def _wake(self) -> None:
-        if self.waiting:
-            event, self.progress = self.progress, Event()
-            self.waiting = 0
+    def _notify(self) -> None:
+        if self.waiter_count:
+            event, self.progress_event = self.progress_event, Event()
+            self.waiter_count = 0
             event.send(None)
--- a/src/cedarchute/programs/call_runner.py
+++ b/src/cedarchute/programs/call_runner.py
@@ -1,4 +1,4 @@
-"""Runs the calls of programs in their order."""
+"""Runs the calls of each program one at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from cedarchute.operators.site_file import ServiceKind
 from cedarchute.problem import Problem
 from cedarchute.programs.call_run import CallRun
-from cedarchute.programs.dispatch import Dispatch
+from cedarchute.programs.dispatch import DispatchedCall
 from cedarchute.programs.records import CallFinished, CallIntended
 from cedarchute.request_ids import current_request_id, set_request_id
 from cedarchute.targets.target_error import TargetError
@@ -33,11 +33,11 @@
 
 log = logging.getLogger("cedarchute.programs")
 
-BUSY_SECONDS: Final = 1.0
+NO_TARGET_RETRY_AFTER_SECONDS: Final = 1.0
 
 
 class CallRunner:
-    """Accepts calls, runs each once, and keeps the answers."""
+    """Accepts calls, runs each once and answers repeated keys from the records."""
 
     def __init__(
         self,
@@ -57,17 +57,18 @@
         self.in_progress = 0
 
     def start(self, program: Program, key: str, request: CallRequest) -> CallRun:
-        """Return the run of a call, started now unless its key is known.
+        """Return the run of a call; start it unless its key is known.
 
         Raises
         ------
         Problem
-            ``key_reused`` when the key stands for another request,
-            ``out_of_order`` when it is not the turn of this call.
+            ``key_reused`` when the key belongs to another request,
+            ``out_of_order`` when the call names a turn other than the next,
+            and the refusals of the program, the service and the rate limits.
         """
-        known = self.find(program, key)
-        if known is not None:
-            if known.digest != request.digest:
+        known_run = self.find(program, key)
+        if known_run is not None:
+            if known_run.digest != request.digest:
                 self.metrics.count_refusal("key_reused")
                 raise Problem(
                     "key_reused",
@@ -75,11 +76,11 @@
                     status=422,
                 )
             self.metrics.count("calls.answered_again")
-            return known
+            return known_run
         self.home.check_open(program)
         self.check_turn(program, request)
         service = self.find_service(request)
-        self.check_moving(program)
+        self.check_not_moving(program)
         self.limits.admit(program.workspace)
         seconds = request.deadline_seconds or service.timeout_seconds
         run = CallRun(key, request.digest, deadline=self.clock.wall() + seconds)
@@ -89,47 +90,47 @@
         return run
 
     def find(self, program: Program, key: str) -> CallRun | None:
-        """Return the run of a known key, made from the records if it ended.
+        """Return the run of a known key, rebuilt from the records if it has ended.
 
         Raises
         ------
         Problem
-            ``copies_unavailable`` while it is in doubt whether holders kept the
-            intent of the call.
+            ``copies_unavailable`` while it is unknown whether the intent of the call
+            was replicated.
         """
         run = program.runs.get(key)
         if run is not None:
             return run
-        entry = program.calls.get(key)
-        if entry is None:
+        call_state = program.calls.get(key)
+        if call_state is None:
             return None
-        if entry.is_open:
+        if call_state.is_open:
             raise make_copies_problem(Verdict.MAY_HAVE_RUN)
-        run = CallRun(key, entry.digest, entry.attempt)
-        outcome = program.read_outcome(entry)
+        run = CallRun(key, call_state.digest, call_state.attempt)
+        outcome = program.read_outcome(call_state)
         run.add(outcome.text)
         run.finish(outcome)
         return run
 
     def check_turn(self, program: Program, request: CallRequest) -> None:
-        """Refuse a call that names another turn than the next."""
-        queued = sum(1 for key in program.runs if key not in program.calls)
-        turn = len(program.calls) + queued + 1
-        if request.turn is not None and request.turn != turn:
+        """Refuse a call that names a turn other than the next one."""
+        queued_calls = sum(1 for key in program.runs if key not in program.calls)
+        next_turn = len(program.calls) + queued_calls + 1
+        if request.turn is not None and request.turn != next_turn:
             self.metrics.count_refusal("out_of_order")
             raise Problem(
                 "out_of_order",
-                f"The next turn is {turn}, not {request.turn}.",
+                f"The next turn is {next_turn}, not {request.turn}.",
                 status=409,
             )
 
-    def check_moving(self, program: Program) -> None:
-        """Refuse to start what would be cut off by a planned move."""
+    def check_not_moving(self, program: Program) -> None:
+        """Refuse to start a call while the partition is being handed over."""
         if program.partition.is_handing_over:
             raise PartitionMovedError(program.partition.name)
 
     def find_service(self, request: CallRequest) -> ServiceSection:
-        """Return the service that a call names."""
+        """Return the service of a call; check that it takes the call's content."""
         site = self.configuration.site
         service = site.services.get(request.service) if site else None
         if service is None:
@@ -141,8 +142,10 @@
             )
         is_model = service.kind is ServiceKind.MODEL
         if is_model != bool(request.messages):
-            wanted = "messages" if is_model else "body"
-            raise Problem("wrong_content", f"Service {request.service} takes {wanted}.")
+            expected = "messages" if is_model else "body"
+            raise Problem(
+                "wrong_content", f"Service {request.service} takes {expected}."
+            )
         return service
 
     def run(
@@ -152,7 +155,7 @@
         request: CallRequest,
         service: ServiceSection,
     ) -> None:
-        """Run one call when its turn comes; the run tells how it ended."""
+        """Run one call when its turn comes and end its run with the result."""
         self.in_progress += 1
         set_request_id(run.request_id)
         try:
@@ -185,8 +188,8 @@
         request: CallRequest,
         service: ServiceSection,
     ) -> CallFinished:
-        """Record the intent, carry the call out, record the outcome."""
-        self.check_moving(program)
+        """Record the intent, dispatch the call and record the outcome."""
+        self.check_not_moving(program)
         self.home.check_open(program)
         if run.is_cancelled:
             raise Problem("cancelled", "The call was cancelled.", status=409)
@@ -197,24 +200,25 @@
             )
         intent = self.make_intent(program, run, request, service)
         self.record_intent(program, intent)
-        call = Dispatch(program, intent, program.calls[run.key], run)
+        call = DispatchedCall(program, intent, program.calls[run.key], run)
         outcome = self.dispatcher.dispatch(call)
-        self.home.append_surely(program, [outcome])
+        self.home.append_until_replicated(program, [outcome])
         return outcome
 
     def record_intent(self, program: Program, intent: CallIntended) -> None:
-        """Record an intent, on holders before anything that has an effect.
+        """Record an intent, replicated before the call can have an effect.
 
-        A plain call that may be repeated has none that matters: its intent goes
-        with its outcome, and a new home simply does not know the call.
+        The intent of a repeatable plain call is replicated together with its outcome:
+        a box that takes over before that does not know the call, and its caller may
+        send it again.
         """
         if intent.service_kind is ServiceKind.PLAIN and intent.repeatable:
-            self.home.note(program, intent)
+            self.home.append_without_waiting(program, intent)
             return
         try:
             self.home.append(program, [intent])
         except Problem:
-            eventlet.spawn_n(self.withdraw, program, intent)
+            eventlet.spawn_n(self.record_not_sent, program, intent)
             raise
 
     def make_intent(
@@ -224,22 +228,22 @@
         request: CallRequest,
         service: ServiceSection,
     ) -> CallIntended:
-        """Return the record of a call that fits its budget and has a target."""
+        """Return the intent of a call; refuse it if over budget or without a target."""
         assert program.opened is not None
         input_tokens = request.input_tokens
         is_model = service.kind is ServiceKind.MODEL
         max_tokens = request.max_tokens if is_model else 0
-        left = program.left_tokens - input_tokens
-        if program.left_calls < 1 or left < (1 if is_model else 0):
+        available_tokens = program.left_tokens - input_tokens
+        if program.remaining_calls < 1 or available_tokens < (1 if is_model else 0):
             self.metrics.count_refusal("budget_spent")
             raise Problem(
                 "budget_spent",
-                f"The program has {program.left_calls} calls and "
+                f"The program has {program.remaining_calls} calls and "
                 f"{program.left_tokens} tokens left; this call needs "
                 f"{input_tokens} tokens for its input.",
                 status=403,
             )
-        max_tokens = min(max_tokens, left)
+        max_tokens = min(max_tokens, available_tokens)
         messages = [*program.read_history(), *request.messages] if is_model else []
         target = self.dispatcher.chooser.choose(
             program, request.service, messages, max_tokens, set()
@@ -250,7 +254,7 @@
                 "no_target",
                 f"No target of {request.service} can be used right now.",
                 status=503,
-                retry_after=BUSY_SECONDS,
+                retry_after=NO_TARGET_RETRY_AFTER_SECONDS,
             )
         deadline = min(run.deadline, program.opened.deadline)
         return CallIntended(
@@ -267,9 +271,9 @@
             deadline=deadline,
         )
 
-    def withdraw(self, program: Program, intent: CallIntended) -> None:
-        """Record that an intent that was slow to be kept was never sent."""
-        refused = CallFinished(
+    def record_not_sent(self, program: Program, intent: CallIntended) -> None:
+        """Record that a call was not sent because its intent was not replicated."""
+        outcome = CallFinished(
             key=intent.key,
             verdict=Verdict.NOT_RUN,
             status=503,
@@ -277,21 +281,21 @@
         )
         try:
             with program.order:
-                self.home.append_surely(program, [refused])
+                self.home.append_until_replicated(program, [outcome])
         except PartitionMovedError:
             return
 
     def cancel(self, program: Program, key: str) -> None:
-        """Stop a call; what it generated until then stays its answer."""
+        """Cancel a call; the text generated so far remains its answer."""
         run = program.runs.get(key)
         if run is None:
             return
         run.is_cancelled = True
-        entry = program.calls.get(key)
-        if entry is None or entry.kind is not ServiceKind.MODEL:
+        call_state = program.calls.get(key)
+        if call_state is None or call_state.kind is not ServiceKind.MODEL:
             return
-        request_id = f"{program.id}:{key}:{entry.attempt}"
+        request_id = f"{program.id}:{key}:{call_state.attempt}"
         try:
-            self.dispatcher.cancel(entry.target, request_id)
+            self.dispatcher.cancel(call_state.target, request_id)
         except TargetError as error:
             log.info("Cancel of %s not confirmed: %s.", request_id, error)
--- a/src/cedarchute/programs/dispatch.py
+++ b/src/cedarchute/programs/dispatch.py
@@ -1,4 +1,4 @@
-"""A call on its way to its target."""
+"""A call that is being dispatched to its target."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cedarchute.programs.call_entry import CallEntry
+    from cedarchute.programs.call_entry import CallState
     from cedarchute.programs.call_run import CallRun
     from cedarchute.programs.program import Program
     from cedarchute.programs.records import CallIntended, ChatMessage
 
 
 @dataclass(frozen=True)
-class Dispatch:
-    """A call on its way: its program, its intent, its state and its run."""
+class DispatchedCall:
+    """The program, intent, state and run of a call that is being dispatched."""
 
     program: Program
     intent: CallIntended
-    entry: CallEntry
+    state: CallState
     run: CallRun
 
     @property
     def request_id(self) -> str:
-        """The id under which the target knows this attempt."""
-        return f"{self.program.id}:{self.intent.key}:{self.entry.attempt}"
+        """The ID that identifies the current attempt to the target."""
+        return f"{self.program.id}:{self.intent.key}:{self.state.attempt}"
 
     def read_messages(self) -> list[ChatMessage]:
-        """Return the program's history with the new messages of the call."""
+        """Return the program's history followed by the new messages of the call."""
         return [*self.program.read_history(), *self.intent.messages]
--- a/src/cedarchute/programs/dispatcher.py
+++ b/src/cedarchute/programs/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends a call to a target, tries again where that is allowed, and no more."""
+"""Dispatch of a call to targets, with retries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from cedarchute.limits.retry_allowance import RetryAllowance
     from cedarchute.metrics import Metrics
     from cedarchute.programs.cache_mover import CacheMover
-    from cedarchute.programs.dispatch import Dispatch
+    from cedarchute.programs.dispatch import DispatchedCall
     from cedarchute.programs.model_caller import ModelCaller
     from cedarchute.programs.program import Program
     from cedarchute.programs.records import ProgramRecord
@@ -30,7 +30,7 @@
 
 log = logging.getLogger("cedarchute.dispatch")
 
-STATUS_OF_REASON: Final = {
+STATUS_BY_REASON: Final = {
     "target_timeout": 504,
     "deadline": 504,
     "copies_unavailable": 503,
@@ -40,7 +40,7 @@
 
 
 class Dispatcher:
-    """Chooses targets and carries calls out, one attempt after the other."""
+    """Sends a call to a target and retries it elsewhere where that is safe."""
 
     def __init__(
         self,
@@ -67,21 +67,26 @@
         self.metrics = metrics
 
     def dispatch(
-        self, call: Dispatch, *, is_resumed: bool = False, may_have_run: bool = False
+        self,
+        call: DispatchedCall,
+        *,
+        is_resumed: bool = False,
+        may_have_run: bool = False,
     ) -> CallFinished:
-        """Carry a call out and return its outcome.
+        """Send a call until it has an outcome, and return that.
 
         Parameters
         ----------
         is_resumed : bool
-            Read an answer on that another box has asked for.
+            Resume a stream that the previous owner of the program started.
         may_have_run : bool
-            An earlier attempt may have run; no later one makes that ``not run``.
+            Whether an earlier attempt may have run; the verdict is then never
+            ``not run``.
 
         Raises
         ------
         PartitionMovedError
-            When another box orders the program's calls now.
+            When another box owns the program now.
         """
         self.allowance.on_first_try()
         excluded: set[str] = set()
@@ -93,13 +98,13 @@
                 if error.verdict is not Verdict.NOT_RUN:
                     may_have_run = True
                 failure = self.describe_failure(call, error, may_have_run)
-                excluded.add(call.entry.target)
+                excluded.add(call.state.target)
                 target = self.choose_retry(call, error, excluded)
                 if target is None:
                     return failure
                 self.metrics.count_retry(error.reason)
             is_resumed = False
-            attempt = call.entry.attempt + 1
+            attempt = call.state.attempt + 1
             retargeted = CallRetargeted(
                 key=call.intent.key, target=target.name, attempt=attempt
             )
@@ -110,9 +115,9 @@
             call.run.restart(attempt)
 
     def choose_retry(
-        self, call: Dispatch, error: TargetError, excluded: set[str]
+        self, call: DispatchedCall, error: TargetError, excluded: set[str]
     ) -> TargetState | None:
-        """Return where to try again, or None when that is not allowed."""
+        """Return the target of the next attempt, or None if a retry is not allowed."""
         if error.verdict is not Verdict.NOT_RUN and not call.intent.repeatable:
             return None
         if call.run.is_cancelled or self.clock.wall() >= call.intent.deadline:
@@ -133,22 +138,22 @@
         return target
 
     def cancel(self, target: str, request_id: str) -> None:
-        """Stop an answer that an engine generates.
+        """Cancel a request at the engine that processes it.
 
         Raises
         ------
         TargetError
-            When the engine did not confirm it.
+            When the engine did not confirm the cancellation.
         """
-        state = self.book.find(target)
-        if state is not None:
-            self.models.engines.cancel(state.section.address, request_id)
+        target_state = self.book.find(target)
+        if target_state is not None:
+            self.models.engines.cancel(target_state.section.address, request_id)
 
-    def attempt(self, call: Dispatch, *, is_resumed: bool) -> CallFinished:
-        """Carry out one attempt at the target that the records name."""
-        target = self.book.find(call.entry.target)
+    def attempt(self, call: DispatchedCall, *, is_resumed: bool) -> CallFinished:
+        """Send the call once to its recorded target."""
+        target = self.book.find(call.state.target)
         if target is None:
-            raise TargetError("target_unknown", call.entry.target, Verdict.NOT_RUN)
+            raise TargetError("target_unknown", call.state.target, Verdict.NOT_RUN)
         seconds = call.intent.deadline - self.clock.wall()
         if seconds <= 0 and not is_resumed:
             raise TargetError("deadline", "no time left", Verdict.NOT_RUN)
@@ -174,8 +179,8 @@
         self.book.on_done(target, priority)
         return outcome
 
-    def confirm_owned(self, call: Dispatch) -> None:
-        """Make sure that nobody has taken the program over, then send at once."""
+    def confirm_owned(self, call: DispatchedCall) -> None:
+        """Raise `TargetError` unless this box is confirmed to own the program."""
         try:
             self.replicator.confirm_owned(call.program.partition)
         except Problem as problem:
@@ -184,10 +189,10 @@
             ) from problem
 
     def attempt_plain(
-        self, call: Dispatch, target: TargetState, seconds: float
+        self, call: DispatchedCall, target: TargetState, seconds: float
     ) -> CallFinished:
-        """Call a plain service or tool once."""
-        text = self.services.call(
+        """Send the call once to a plain service."""
+        response_text = self.services.call(
             target.section.address,
             f"{call.program.id}:{call.intent.key}",
             call.program.id,
@@ -195,22 +200,22 @@
             seconds,
         )
         return CallFinished(
-            key=call.intent.key, verdict=Verdict.RAN, status=200, text=text
+            key=call.intent.key, verdict=Verdict.RAN, status=200, text=response_text
         )
 
     def describe_failure(
-        self, call: Dispatch, error: TargetError, may_have_run: bool
+        self, call: DispatchedCall, error: TargetError, may_have_run: bool
     ) -> CallFinished:
-        """Return the outcome of a call that is given up after `error`."""
+        """Return the outcome of a call that is not retried after `error`."""
         verdict = Verdict.MAY_HAVE_RUN if may_have_run else error.verdict
         tokens = 0 if verdict is Verdict.NOT_RUN else call.intent.reserved_tokens
         return CallFinished(
             key=call.intent.key,
             verdict=verdict,
-            status=STATUS_OF_REASON.get(error.reason, 502),
+            status=STATUS_BY_REASON.get(error.reason, 502),
             text=call.run.text,
             finish_reason="error",
             tokens=tokens,
             code=error.reason,
-            detail=f"{call.entry.target}: {error.detail}",
+            detail=f"{call.state.target}: {error.detail}",
         )
--- a/src/cedarchute/programs/home.py
+++ b/src/cedarchute/programs/home.py
@@ -1,4 +1,4 @@
-"""The home of programs: opens them, finds them, ends them."""
+"""The programs that this box owns: opening, lookup and ending."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 )
 from cedarchute.copies.program_log import ProgramLog
 from cedarchute.problem import Problem
-from cedarchute.programs.budget_split import make_budget
-from cedarchute.programs.part_keeper import PartKeeper
+from cedarchute.programs.budget_split import resolve_budget
+from cedarchute.programs.part_keeper import ChildBudgets
 from cedarchute.programs.program import Program
-from cedarchute.programs.program_id import mint_program_id, parse_partition
+from cedarchute.programs.program_id import format_program_id, parse_partition
 from cedarchute.programs.records import (
     ProgramEnded,
     ProgramOpened,
@@ -40,13 +40,13 @@
 log = logging.getLogger("cedarchute.programs")
 
 RECOVERING: Final = "recovering"
-FULL_SECONDS: Final = 5.0
-RECOVERING_SECONDS: Final = 0.5
-RETRY_APPEND_SECONDS: Final = 0.5
+BOX_FULL_RETRY_AFTER_SECONDS: Final = 5.0
+RECOVERING_RETRY_AFTER_SECONDS: Final = 0.5
+APPEND_RETRY_SECONDS: Final = 0.5
 
 
 class ProgramHome:
-    """Every program whose calls this box orders."""
+    """The programs whose partitions this box owns."""
 
     def __init__(
         self,
@@ -66,29 +66,42 @@
         self.clock = clock
         self.metrics = metrics
         self.programs: dict[str, Program] = {}
-        self.parts = PartKeeper(self, metrics)
+        self.parts = ChildBudgets(self, metrics)
         self.ended_listeners: list[Callable[[Program], None]] = []
 
     def append(self, program: Program, records: Sequence[ProgramRecord]) -> None:
-        """Append records and return when holders have them.
+        """Append records and wait until they are replicated.
 
-        They count for the program's state at once, so that no two calls are
-        promised the same part of a budget.
+        They are applied to the program before the wait, so that two calls cannot
+        reserve the same budget.
+
+        Raises
+        ------
+        Problem
+            ``copies_unavailable`` when they were not acknowledged in time.
         """
         start = self.replicator.extend(program.partition, program.id, records)
         program.apply_all(records, start)
         program.touched_at = self.clock.monotonic()
         self.replicator.wait_kept(program.partition, program.id, start + len(records))
 
-    def note(self, program: Program, record: ProgramRecord) -> None:
-        """Add a record that need not be kept before the next one is."""
+    def append_without_waiting(self, program: Program, record: ProgramRecord) -> None:
+        """Append a record that is replicated together with the next one."""
         start = self.replicator.extend(
             program.partition, program.id, [record], is_sent=False
         )
         program.apply(record, start)
 
-    def append_surely(self, program: Program, records: Sequence[ProgramRecord]) -> None:
-        """Append records, for as long as it takes while the program is here."""
+    def append_until_replicated(
+        self, program: Program, records: Sequence[ProgramRecord]
+    ) -> None:
+        """Append records and wait until they are replicated, however long it takes.
+
+        Raises
+        ------
+        PartitionMovedError
+            When another box owns the program now.
+        """
         try:
             self.append(program, records)
             return
@@ -100,17 +113,17 @@
                 self.replicator.wait_kept(program.partition, program.id, length)
                 return
             except Problem:
-                eventlet.sleep(RETRY_APPEND_SECONDS)
+                eventlet.sleep(APPEND_RETRY_SECONDS)
 
     def open(self, request: OpenRequest) -> Program:
-        """Open a program, or a sub-agent's program with a part of the budget.
+        """Open a program, or a sub-agent's program within its parent's budget.
 
         Raises
         ------
         Problem
-            Verdict ``not run``: limits, budget or copies do not allow it.
+            With verdict ``not run`` when limits, budget or replication refuse it.
         PartitionMovedError
-            When the parent's home is another box now.
+            When another box owns the parent now.
         """
         section = self.limits.find_section(request.workspace)
         if len(self.programs) >= self.settings.max_programs:
@@ -119,7 +132,7 @@
                 "box_full",
                 "This box orders as many programs as it may; ask another entry.",
                 status=503,
-                retry_after=FULL_SECONDS,
+                retry_after=BOX_FULL_RETRY_AFTER_SECONDS,
             )
         if request.parent is not None:
             return self._open_child(request, section)
@@ -127,7 +140,8 @@
         try:
             return self._open_in(self.own_partition(), request, section, None)
         except PartitionMovedError as error:
-            # This box was cut off and finds out now; it gets a new partition soon.
+            # Ownership was lost while the box was cut off; the box will get a new
+            # partition, so the caller may retry.
             self.metrics.count_refusal("copies_unavailable")
             raise make_copies_problem(Verdict.NOT_RUN) from error
 
@@ -139,10 +153,10 @@
         parent: Program | None,
     ) -> Program:
         partition.next_number += 1
-        program_id = mint_program_id(
+        program_id = format_program_id(
             partition.name, partition.epoch, partition.next_number
         )
-        budget = make_budget(request, section)
+        budget = resolve_budget(request, section)
         if parent is not None:
             budget = self.parts.reserve(parent, program_id, request, budget)
         now = self.clock.wall()
@@ -186,14 +200,14 @@
         return self._open_in(parent.partition, request, section, parent)
 
     def find(self, program_id: str) -> Program:
-        """Return a program whose home is here.
+        """Return a program that this box owns.
 
         Raises
         ------
         PartitionMovedError
-            When this box does not order its calls.
+            When this box does not own the program.
         Problem
-            ``unknown_program`` when it was forgotten or never was;
+            ``unknown_program`` when it has expired or never existed;
             ``recovering`` while its records are being read.
         """
         name = parse_partition(program_id)
@@ -209,7 +223,7 @@
                 "unknown_program",
                 f"Program {program_id} is not known (any more).",
                 status=404,
-                # Its calls are forgotten with it, those that ran among them.
+                # The records of its calls are gone too, and some of them may have run.
                 verdict=Verdict.MAY_HAVE_RUN,
             )
         if not program.is_ready:
@@ -217,7 +231,7 @@
         return program
 
     def check_open(self, program: Program) -> None:
-        """Raise a `Problem` when the program takes no further call."""
+        """Raise ``program_ended`` when the program accepts no further calls."""
         if program.ended is not None or program.is_ending:
             self.metrics.count_refusal("program_ended")
             reason = program.ended.reason if program.ended else "ending"
@@ -226,7 +240,7 @@
             )
 
     def end(self, program: Program, reason: str) -> None:
-        """End a program and its sub-agents, and give the rest of its budget back."""
+        """End a program and its sub-agents; refund its unused budget to its parent."""
         if program.ended is not None:
             return
         program.is_ending = True
@@ -239,12 +253,12 @@
             now = self.clock.wall()
             self.append(program, [ProgramEnded(reason=reason, ended_at=now)])
         self.metrics.count("programs.ended")
-        self.parts.give_back(program)
+        self.parts.refund(program)
         for listener in self.ended_listeners:
             listener(program)
 
     def drop_partition(self, partition: OwnedPartition) -> None:
-        """Forget the programs of a partition that another box owns now."""
+        """Remove the programs of a partition that another box owns now."""
         for program_id, program in list(self.programs.items()):
             if program.partition is not partition:
                 continue
@@ -256,18 +270,18 @@
             del self.replicator.partitions[partition.name]
 
     def forget(self, program: Program) -> None:
-        """Drop an ended program whose answers need not be kept any longer."""
+        """Remove an ended program whose retention time is over."""
         self.programs.pop(program.id, None)
         self.replicator.forget(program.partition, program.id)
         self.metrics.count("programs.forgotten")
 
 
 def make_recovering_problem() -> Problem:
-    """Return the problem of a program whose records are being read."""
+    """Return the error for a program whose records are still being read."""
     return Problem(
         RECOVERING,
         "Another box has just taken the program over; ask again.",
         status=503,
         verdict=Verdict.MAY_HAVE_RUN,
-        retry_after=RECOVERING_SECONDS,
+        retry_after=RECOVERING_RETRY_AFTER_SECONDS,
     )
--- a/src/cedarchute/programs/model_caller.py
+++ b/src/cedarchute/programs/model_caller.py
@@ -1,4 +1,4 @@
-"""Generates answers on model engines, and reads on after a break."""
+"""Calls to model engines, with resumption of interrupted streams."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     from cedarchute.clock import Clock
     from cedarchute.metrics import Metrics
     from cedarchute.operators.configuration import Configuration
-    from cedarchute.programs.dispatch import Dispatch
+    from cedarchute.programs.dispatch import DispatchedCall
     from cedarchute.scheduling.prefix_index import PrefixIndex
     from cedarchute.scheduling.shared_holds import SharedHolds
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.engine_client import EngineClient
 
-RESUME_ATTEMPTS: Final = 2
+MAX_RESUMES: Final = 2
 
 
 class ModelCaller:
-    """Carries one attempt of a call out on one engine."""
+    """Runs one attempt of a model call on one engine."""
 
     def __init__(
         self,
@@ -46,13 +46,19 @@
 
     def attempt(
         self,
-        call: Dispatch,
+        call: DispatchedCall,
         target: TargetState,
         priority: int,
         is_resumed: bool,
         seconds: float,
     ) -> CallFinished:
-        """Generate an answer, reading on after a break as long as that works."""
+        """Generate an answer; resume its stream up to `MAX_RESUMES` times.
+
+        Raises
+        ------
+        TargetError
+            When the engine refuses the call or the stream cannot be resumed.
+        """
         address = target.section.address
         resumes = 0
         while True:
@@ -65,12 +71,12 @@
                     stream = self.engines.generate(
                         address, self.make_request(call, priority), seconds
                     )
-                outcome = self.follow(call, target, stream)
-                self.hold_shared(call, target)
+                outcome = self.consume_stream(call, target, stream)
+                self.retain_shared_prefix(call, target)
                 return outcome
             except TargetError as error:
-                is_broken = error.reason in ("target_broke_off", "target_timeout")
-                if not is_broken or resumes >= RESUME_ATTEMPTS:
+                is_resumable = error.reason in ("target_broke_off", "target_timeout")
+                if not is_resumable or resumes >= MAX_RESUMES:
                     raise
                 if self.clock.wall() >= call.intent.deadline:
                     raise
@@ -78,13 +84,13 @@
                 is_resumed = True
                 self.metrics.count_retry("stream_resumed")
 
-    def follow(
+    def consume_stream(
         self,
-        call: Dispatch,
+        call: DispatchedCall,
         target: TargetState,
         stream: Iterable[StreamPiece | StreamEnd],
     ) -> CallFinished:
-        """Pass the pieces of a stream on and return the outcome at its end."""
+        """Add the pieces of a stream to the run; return the outcome at its end."""
         for item in stream:
             if isinstance(item, StreamPiece):
                 call.program.partition.check_owned()
@@ -107,8 +113,8 @@
             )
         raise TargetError("target_broke_off", "no end", Verdict.MAY_HAVE_RUN)
 
-    def hold_shared(self, call: Dispatch, target: TargetState) -> None:
-        """Keep what the prompt shares with other programs at its target."""
+    def retain_shared_prefix(self, call: DispatchedCall, target: TargetState) -> None:
+        """Retain the prompt prefix that other programs share, on the target."""
         site = self.configuration.site
         if site is None or not site.is_program_aware:
             return
@@ -122,12 +128,12 @@
             call.read_messages,
         )
 
-    def make_request(self, call: Dispatch, priority: int) -> GenerateRequest:
-        """Return what the engine is asked for."""
+    def make_request(self, call: DispatchedCall, priority: int) -> GenerateRequest:
+        """Return the request to the engine; add its prompt to the prefix index."""
         site = self.configuration.site
         assert site is not None
         program = call.program
-        self.prefix_index.note(program.prefixes, program.id, call.entry.target)
+        self.prefix_index.note(program.prefixes, program.id, call.state.target)
         return GenerateRequest(
             request_id=call.request_id,
             program=program.id,
--- a/src/cedarchute/programs/pack_limits.py
+++ b/src/cedarchute/programs/pack_limits.py
@@ -1,9 +1,10 @@
-"""When and how much of idle programs' histories is packed."""
+"""Limits on compressing the histories of idle programs."""
 
 from __future__ import annotations
 
 from typing import Final
 
 PACK_AFTER_SECONDS: Final = 5.0
-# Characters in a second; a few milliseconds of work, less than between two tokens.
+# Characters compressed per reaper interval; compression blocks the event loop, so
+# this must take less time than the gap between two streamed tokens.
 PACK_AT_ONCE: Final = 256_000
--- a/src/cedarchute/programs/part_keeper.py
+++ b/src/cedarchute/programs/part_keeper.py
@@ -1,4 +1,4 @@
-"""Splits parts of a budget off for sub-agents, and gives back what they leave."""
+"""Budget reservations of sub-agents on their parents' budgets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from cedarchute.problem import Problem
 from cedarchute.programs.budget import Budget
-from cedarchute.programs.records import PartReserved, PartReturned
+from cedarchute.programs.records import BudgetReserved, BudgetReturned
 
 if TYPE_CHECKING:
     from cedarchute.copies.owned_partition import OwnedPartition
@@ -16,8 +16,8 @@
     from cedarchute.programs.requests import OpenRequest
 
 
-class PartKeeper:
-    """Keeps the parts of sub-agents on the logs of their parents."""
+class ChildBudgets:
+    """Records reservations and refunds for sub-agents on their parents' logs."""
 
     def __init__(self, home: ProgramHome, metrics: Metrics) -> None:
         self.home = home
@@ -26,29 +26,38 @@
     def reserve(
         self, parent: Program, child: str, request: OpenRequest, budget: Budget
     ) -> Budget:
-        """Reserve the child's part on the parent's log before the child exists."""
+        """Reserve budget on the parent's log before the child is opened.
+
+        Limits that the request leaves out default to half of what the parent has left.
+
+        Raises
+        ------
+        Problem
+            ``budget_spent`` when the parent has less than requested.
+        """
         tokens = request.budget.tokens or max(1, parent.left_tokens // 2)
-        calls = request.budget.calls or max(1, parent.left_calls // 2)
-        if tokens > parent.left_tokens or calls > parent.left_calls:
+        calls = request.budget.calls or max(1, parent.remaining_calls // 2)
+        if tokens > parent.left_tokens or calls > parent.remaining_calls:
             self.metrics.count_refusal("budget_spent")
             raise Problem(
                 "budget_spent",
-                f"The parent has {parent.left_tokens} tokens and {parent.left_calls} "
-                f"calls left, less than the {tokens} and {calls} asked for.",
+                f"The parent has {parent.left_tokens} tokens and "
+                f"{parent.remaining_calls} calls left, less than the {tokens} and "
+                f"{calls} asked for.",
                 status=403,
             )
         self.home.append(
-            parent, [PartReserved(child=child, tokens=tokens, calls=calls)]
+            parent, [BudgetReserved(child=child, tokens=tokens, calls=calls)]
         )
         return Budget(tokens=tokens, calls=calls, seconds=budget.seconds)
 
-    def give_back(self, program: Program) -> None:
-        """Give what a sub-agent has left back to its parent."""
+    def refund(self, program: Program) -> None:
+        """Return the unused budget of a sub-agent to its parent."""
         assert program.opened is not None
         parent = self.home.programs.get(program.opened.parent or "")
         if parent is None or program.id not in parent.parts:
             return
-        returned = PartReturned(
+        returned = BudgetReturned(
             child=program.id,
             spent_tokens=program.spent_tokens,
             spent_calls=program.spent_calls,
@@ -56,10 +65,10 @@
         self.home.append(parent, [returned])
 
     def give_all_back(self, partition: OwnedPartition) -> None:
-        """Give back the parts of sub-agents that never came to be or have ended.
+        """Refund the reservations of sub-agents that ended or were never opened.
 
-        A box may be lost between the two records of a part; whoever takes over
-        makes them agree.
+        A box can fail between the records on the parent's and on the child's log; the
+        box that takes over reconciles them.
         """
         for program in list(self.home.programs.values()):
             if program.partition is not partition:
@@ -67,9 +76,9 @@
             for child_id in list(program.parts):
                 child = self.home.programs.get(child_id)
                 if child is None:
-                    returned = PartReturned(
+                    returned = BudgetReturned(
                         child=child_id, spent_tokens=0, spent_calls=0
                     )
-                    self.home.append_surely(program, [returned])
+                    self.home.append_until_replicated(program, [returned])
                 elif child.ended is not None:
-                    self.give_back(child)
+                    self.refund(child)
--- a/src/cedarchute/programs/program.py
+++ b/src/cedarchute/programs/program.py
@@ -1,4 +1,4 @@
-"""The state of one program, made by reading its records in order."""
+"""The state of one program, rebuilt by replaying its records."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from eventlet.semaphore import Semaphore
 
 from cedarchute.operators.site_file import ServiceKind
-from cedarchute.programs.call_entry import CallEntry
+from cedarchute.programs.call_entry import CallState
 from cedarchute.programs.records import (
+    BudgetReserved,
+    BudgetReturned,
     CacheReleased,
     CallFinished,
     CallIntended,
     CallRetargeted,
     ChatMessage,
-    PartReserved,
-    PartReturned,
     ProgramEnded,
     ProgramOpened,
     TakenOver,
@@ -33,18 +33,18 @@
 
 
 class Program:
-    """A chain of calls with a history and a budget.
+    """A chain of dependent calls with a shared history and budget.
 
     Attributes
     ----------
     order : Semaphore
-        Held by the call whose turn it is; waiters get it in order of arrival.
+        Serializes the calls; waiters acquire it in order of arrival.
     cached : dict of str to int
-        Targets that may hold cache of the program, with its believed length.
+        Estimated number of cached tokens by target that may hold cache of the program.
     attained_tokens : int
-        Tokens that engines computed for the program so far.
+        Tokens that engines have computed for the program, cache hits excluded.
     prefixes : tuple of bytes
-        Digests of the beginnings of its prompt, once a model was called.
+        Digests of the prefixes of its prompt; empty before the first model call.
     """
 
     def __init__(
@@ -59,8 +59,8 @@
         self.ended: ProgramEnded | None = None
         self.is_ending = False
         self.is_ready = True
-        self.calls: dict[str, CallEntry] = {}
-        self.parts: dict[str, PartReserved] = {}
+        self.calls: dict[str, CallState] = {}
+        self.parts: dict[str, BudgetReserved] = {}
         self.cached: dict[str, int] = {}
         self.prefixes: tuple[bytes, ...] = ()
         self.last_target: str | None = None
@@ -74,29 +74,29 @@
     def replay(
         cls, program_id: str, partition: OwnedPartition, log: ProgramLog
     ) -> Program:
-        """Return the program that a log describes."""
+        """Return the program whose records are in `log`."""
         program = cls(program_id, partition, log)
         for index, held in enumerate(log.records):
             program.apply(parse_record(held.text), index)
         return program
 
     def apply(self, record: ProgramRecord, index: int) -> None:
-        """Take in the record at `index` of the log."""
+        """Update the state by the record at `index` of the log."""
         match record:
             case ProgramOpened():
                 self.opened = record
             case CallIntended():
                 self._on_intended(record, index)
             case CallRetargeted():
-                entry = self.calls[record.key]
-                entry.target = record.target
-                entry.attempt = record.attempt
-                self._on_target(entry)
+                call_state = self.calls[record.key]
+                call_state.target = record.target
+                call_state.attempt = record.attempt
+                self._on_target(call_state)
             case CallFinished():
                 self._on_finished(record, index)
-            case PartReserved():
+            case BudgetReserved():
                 self.parts[record.child] = record
-            case PartReturned():
+            case BudgetReturned():
                 if self.parts.pop(record.child, None) is not None:
                     self.spent_tokens += record.spent_tokens
                     self.spent_calls += record.spent_calls
@@ -108,7 +108,7 @@
                 self.takeovers += 1
 
     def _on_intended(self, record: CallIntended, index: int) -> None:
-        entry = CallEntry(
+        call_state = CallState(
             key=record.key,
             digest=record.digest,
             service=record.service,
@@ -120,27 +120,27 @@
             intent_index=index,
         )
         self.calls.pop(record.key, None)
-        self.calls[record.key] = entry
-        self._on_target(entry)
+        self.calls[record.key] = call_state
+        self._on_target(call_state)
 
-    def _on_target(self, entry: CallEntry) -> None:
-        if entry.kind is ServiceKind.MODEL:
-            self.cached.setdefault(entry.target, 0)
-            self.last_target = entry.target
+    def _on_target(self, call_state: CallState) -> None:
+        if call_state.kind is ServiceKind.MODEL:
+            self.cached.setdefault(call_state.target, 0)
+            self.last_target = call_state.target
 
     def _on_finished(self, record: CallFinished, index: int) -> None:
-        entry = self.calls[record.key]
+        call_state = self.calls[record.key]
         if record.verdict is Verdict.NOT_RUN:
             del self.calls[record.key]
             return
-        entry.finish_index = index
-        entry.verdict = record.verdict
-        entry.tokens = record.tokens
+        call_state.finish_index = index
+        call_state.verdict = record.verdict
+        call_state.tokens = record.tokens
         self.spent_tokens += record.tokens
         self.spent_calls += 1
-        if entry.kind is ServiceKind.MODEL and record.verdict is Verdict.RAN:
+        if call_state.kind is ServiceKind.MODEL and record.verdict is Verdict.RAN:
             length = record.prompt_tokens + record.completion_tokens
-            self.cached[entry.target] = length
+            self.cached[call_state.target] = length
             computed = length - record.cached_tokens
             self.attained_tokens += max(0, computed)
 
@@ -151,62 +151,65 @@
         return self.opened.workspace
 
     @property
-    def open_calls(self) -> list[CallEntry]:
-        """The calls whose outcome is not known yet."""
-        return [entry for entry in self.calls.values() if entry.is_open]
+    def open_calls(self) -> list[CallState]:
+        """The calls that have no outcome yet."""
+        return [call for call in self.calls.values() if call.is_open]
 
     @property
     def left_tokens(self) -> int:
-        """Tokens that may still be promised to calls or sub-agents."""
+        """Tokens not yet spent or reserved by open calls and sub-agents."""
         assert self.opened is not None
-        reserved = sum(entry.reserved_tokens for entry in self.open_calls)
-        parts = sum(part.tokens for part in self.parts.values())
-        return self.opened.budget.tokens - self.spent_tokens - reserved - parts
+        reserved = sum(call.reserved_tokens for call in self.open_calls)
+        allocated = sum(child.tokens for child in self.parts.values())
+        return self.opened.budget.tokens - self.spent_tokens - reserved - allocated
 
     @property
-    def left_calls(self) -> int:
-        """Calls that may still be promised to calls or sub-agents."""
+    def remaining_calls(self) -> int:
+        """Calls not yet spent, open or reserved by sub-agents."""
         assert self.opened is not None
-        parts = sum(part.calls for part in self.parts.values())
+        allocated = sum(child.calls for child in self.parts.values())
         open_calls = len(self.open_calls)
-        return self.opened.budget.calls - self.spent_calls - open_calls - parts
+        return self.opened.budget.calls - self.spent_calls - open_calls - allocated
 
     @property
     def used_tokens(self) -> int:
-        """Tokens spent, open calls and sub-agents' parts counted as spent."""
+        """Tokens spent or reserved by open calls and sub-agents."""
         assert self.opened is not None
         return self.opened.budget.tokens - self.left_tokens
 
     @property
     def used_calls(self) -> int:
-        """Calls spent, open ones and sub-agents' parts counted as spent."""
+        """Calls spent, open or reserved by sub-agents."""
         assert self.opened is not None
-        return self.opened.budget.calls - self.left_calls
+        return self.opened.budget.calls - self.remaining_calls
 
     def read_history(self) -> list[ChatMessage]:
-        """Return the messages of every model call that ran, in order."""
+        """Return the messages and answers of all model calls that ran, in order."""
         messages: list[ChatMessage] = []
-        for entry in self.calls.values():
-            if entry.kind is not ServiceKind.MODEL or entry.verdict is not Verdict.RAN:
+        for call_state in self.calls.values():
+            if (
+                call_state.kind is not ServiceKind.MODEL
+                or call_state.verdict is not Verdict.RAN
+            ):
                 continue
-            messages.extend(self.read_intent(entry).messages)
-            answer = self.read_outcome(entry).text
+            messages.extend(self.read_intent(call_state).messages)
+            answer = self.read_outcome(call_state).text
             messages.append(ChatMessage(role="assistant", content=answer))
         return messages
 
-    def read_intent(self, entry: CallEntry) -> CallIntended:
-        """Return the record of the intent of a call."""
-        record = parse_record(self.log.records[entry.intent_index].text)
+    def read_intent(self, call_state: CallState) -> CallIntended:
+        """Return the intent record of a call."""
+        record = parse_record(self.log.records[call_state.intent_index].text)
         assert isinstance(record, CallIntended)
         return record
 
-    def read_outcome(self, entry: CallEntry) -> CallFinished:
-        """Return the record of the outcome of a call."""
-        record = parse_record(self.log.records[entry.finish_index].text)
+    def read_outcome(self, call_state: CallState) -> CallFinished:
+        """Return the outcome record of a call."""
+        record = parse_record(self.log.records[call_state.finish_index].text)
         assert isinstance(record, CallFinished)
         return record
 
     def apply_all(self, records: Sequence[ProgramRecord], start: int) -> None:
-        """Take in records that stand in the log from `start` on."""
+        """Update the state by consecutive records, the first at `start` of the log."""
         for offset, record in enumerate(records):
             self.apply(record, start + offset)
--- a/src/cedarchute/programs/program_id.py
+++ b/src/cedarchute/programs/program_id.py
@@ -1,4 +1,4 @@
-"""Ids that say which partition a program belongs to, without a look-up."""
+"""Program IDs, which contain the name of the program's partition."""
 
 from __future__ import annotations
 
@@ -7,26 +7,28 @@
 
 from cedarchute.problem import Problem
 
-PATTERN: Final = re.compile(r"^p-([A-Za-z0-9][A-Za-z0-9_-]*\.\d+)-(\d+)-(\d+)$")
+PROGRAM_ID_PATTERN: Final = re.compile(
+    r"^p-([A-Za-z0-9][A-Za-z0-9_-]*\.\d+)-(\d+)-(\d+)$"
+)
 
 
-def mint_program_id(partition: str, epoch: int, number: int) -> str:
-    """Return the id of the `number`-th program opened under `epoch`.
+def format_program_id(partition: str, epoch: int, number: int) -> str:
+    """Return the ID of the `number`-th program opened under `epoch`.
 
-    The epoch keeps a new owner from using a number again that the old one used.
+    The epoch keeps IDs unique when a new owner of the partition restarts the numbers.
     """
     return f"p-{partition}-{epoch}-{number}"
 
 
 def parse_partition(program: str) -> str:
-    """Return the partition of a program id.
+    """Return the name of the partition in a program ID.
 
     Raises
     ------
     Problem
-        ``unknown_program`` when the text is no program id.
+        ``unknown_program`` when the text is not a program ID.
     """
-    match = PATTERN.match(program)
+    match = PROGRAM_ID_PATTERN.match(program)
     if match is None:
         raise Problem(
             "unknown_program",
--- a/src/cedarchute/programs/reaper.py
+++ b/src/cedarchute/programs/reaper.py
@@ -1,4 +1,4 @@
-"""Ends programs that are out of time or idle, and forgets ended ones."""
+"""Ends expired and idle programs and removes ended ones."""
 
 from __future__ import annotations
 
@@ -19,15 +19,14 @@
 
 log = logging.getLogger("cedarchute.programs")
 
-PERIOD_SECONDS: Final = 1.0
+REAP_INTERVAL_SECONDS: Final = 1.0
 
 
 class Reaper:
-    """Looks at every program of the home in each period.
+    """Periodically checks every program that this box owns.
 
-    The history of a program that is idle is packed, a bounded part in each period.
-    A program that loops without end is ended by its budget of calls or tokens, or
-    here by its time.
+    A program that never finishes is ended by its call and token budgets, or here at its
+    deadline. The histories of idle programs are compressed, up to a limit per interval.
     """
 
     def __init__(
@@ -38,39 +37,42 @@
         self.clock = clock
 
     def reap_forever(self) -> None:
-        """End programs that are out of time or idle; forget ended ones."""
+        """Check all programs once per interval and compress idle histories."""
         while True:
-            eventlet.sleep(PERIOD_SECONDS)
-            left = PACK_AT_ONCE
+            eventlet.sleep(REAP_INTERVAL_SECONDS)
+            remaining = PACK_AT_ONCE
             for program in list(self.home.programs.values()):
                 self.reap(program)
-                if left > 0 and self.is_idle(program):
-                    left -= program.log.pack(left)
+                if remaining > 0 and self.is_idle(program):
+                    remaining -= program.log.pack(remaining)
 
     def is_idle(self, program: Program) -> bool:
-        """Return whether a program has had no call for a while."""
-        idle = self.clock.monotonic() - program.touched_at
-        return not program.runs and idle > PACK_AFTER_SECONDS
+        """Return whether the history of a program may be compressed."""
+        idle_seconds = self.clock.monotonic() - program.touched_at
+        return not program.runs and idle_seconds > PACK_AFTER_SECONDS
 
     def reap(self, program: Program) -> None:
-        """End or forget one program if it is due."""
+        """End a program past its deadline or idle limit; remove an ended one."""
         assert program.opened is not None
         now = self.clock.wall()
-        idle = self.clock.monotonic() - program.touched_at
+        idle_seconds = self.clock.monotonic() - program.touched_at
         if program.ended is not None:
-            kept = now - program.ended.ended_at
-            if not program.cached and kept > self.settings.keep_answers_seconds:
+            ended_seconds = now - program.ended.ended_at
+            if (
+                not program.cached
+                and ended_seconds > self.settings.keep_answers_seconds
+            ):
                 self.home.forget(program)
             return
         if program.is_ending or not program.is_ready:
             return
         if now > program.opened.deadline:
-            eventlet.spawn_n(self.end_quietly, program, "time budget spent")
-        elif not program.runs and idle > self.settings.idle_program_seconds:
-            eventlet.spawn_n(self.end_quietly, program, "idle for too long")
+            eventlet.spawn_n(self.try_end, program, "time budget spent")
+        elif not program.runs and idle_seconds > self.settings.idle_program_seconds:
+            eventlet.spawn_n(self.try_end, program, "idle for too long")
 
-    def end_quietly(self, program: Program, reason: str) -> None:
-        """End a program in a task of its own; try again later if that fails."""
+    def try_end(self, program: Program, reason: str) -> None:
+        """End a program; a failure is retried at the next check."""
         try:
             self.home.end(program, reason)
         except (Problem, PartitionMovedError) as error:
--- a/src/cedarchute/programs/records.py
+++ b/src/cedarchute/programs/records.py
@@ -1,7 +1,7 @@
-"""What a program's log is made of.
+"""The records of a program's log.
 
-A program's state is what these records say when they are read in order; the
-home that orders the calls and a box that takes over read them alike.
+A program's state is the result of replaying its records in order, both on the box that
+owns the program and on a box that takes it over.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class ChatMessage(Message):
-    """One message of a conversation, named as chat-completions clients know it."""
+    """One message of a conversation, in the format of the chat completions API."""
 
     role: Literal["system", "user", "assistant", "tool"]
     content: str
 
 
 class ProgramOpened(Message):
-    """The program exists."""
+    """The program was opened."""
 
     kind: Literal["opened"] = "opened"
     workspace: str
@@ -36,7 +36,7 @@
 
 
 class CallIntended(Message):
-    """A call may go out to its target from now on."""
+    """The intent to send a call to a target."""
 
     kind: Literal["intended"] = "intended"
     key: str
@@ -53,12 +53,12 @@
 
     @property
     def reserved_tokens(self) -> int:
-        """The tokens that the call may cost."""
+        """The maximum number of tokens that the call may cost."""
         return self.input_tokens + self.max_tokens
 
 
 class CallRetargeted(Message):
-    """The call goes to another target, or to the same one again."""
+    """The call is retried, on another target or on the same one."""
 
     kind: Literal["retargeted"] = "retargeted"
     key: str
@@ -67,7 +67,7 @@
 
 
 class CallFinished(Message):
-    """The outcome of a call; what its caller is told, now and later."""
+    """The outcome of a call, also returned when its key is sent again."""
 
     kind: Literal["finished"] = "finished"
     key: str
@@ -83,8 +83,8 @@
     detail: str | None = None
 
 
-class PartReserved(Message):
-    """A sub-agent's program got a part of the budget."""
+class BudgetReserved(Message):
+    """Budget was reserved for a sub-agent's program."""
 
     kind: Literal["part_reserved"] = "part_reserved"
     child: str
@@ -92,8 +92,8 @@
     calls: int
 
 
-class PartReturned(Message):
-    """A sub-agent's program ended and gave back what it had left."""
+class BudgetReturned(Message):
+    """A sub-agent's program ended and its unused budget was refunded."""
 
     kind: Literal["part_returned"] = "part_returned"
     child: str
@@ -102,7 +102,7 @@
 
 
 class ProgramEnded(Message):
-    """No further call is taken."""
+    """The program ended; it accepts no further calls."""
 
     kind: Literal["ended"] = "ended"
     reason: str
@@ -110,14 +110,14 @@
 
 
 class CacheReleased(Message):
-    """A target confirmed that it holds nothing of the program any more."""
+    """A target confirmed that it released the program's cache."""
 
     kind: Literal["released"] = "released"
     target: str
 
 
 class TakenOver(Message):
-    """Another box orders the calls from here on."""
+    """Another box owns the program from this record on."""
 
     kind: Literal["taken_over"] = "taken_over"
     owner: str
@@ -128,8 +128,8 @@
     | CallIntended
     | CallRetargeted
     | CallFinished
-    | PartReserved
-    | PartReturned
+    | BudgetReserved
+    | BudgetReturned
     | ProgramEnded
     | CacheReleased
     | TakenOver,
@@ -140,5 +140,5 @@
 
 
 def parse_record(text: str | bytes) -> ProgramRecord:
-    """Return the record written as `text`."""
+    """Return the record that the JSON document `text` describes."""
     return _adapter.validate_json(text)
--- a/src/cedarchute/programs/releaser.py
+++ b/src/cedarchute/programs/releaser.py
@@ -1,4 +1,4 @@
-"""Frees the cache that engines hold for ended programs."""
+"""Release of the caches that engines hold for ended programs."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 log = logging.getLogger("cedarchute.release")
 
-FIRST_WAIT_SECONDS: Final = 0.2
-LONGEST_WAIT_SECONDS: Final = 10.0
+INITIAL_BACKOFF_SECONDS: Final = 0.2
+MAX_BACKOFF_SECONDS: Final = 10.0
 
 
 class Releaser:
-    """Asks each engine of an ended program until it confirms.
+    """Retries the release on each engine until it is confirmed.
 
-    A confirmed release is recorded, so a box that takes the program over asks
-    only where it has to.
+    A confirmed release is recorded, so a box that takes the program over repeats only
+    the unconfirmed ones.
     """
 
     def __init__(
@@ -45,25 +45,25 @@
         self.metrics = metrics
 
     def on_ended(self, program: Program) -> None:
-        """Start to release an ended program."""
+        """Release an ended program on all its targets, in the background."""
         for target in list(program.cached):
             eventlet.spawn_n(self.release, program, target)
 
     def release(self, program: Program, name: str) -> None:
-        """Release one program on one target, again until it is confirmed."""
-        wait = FIRST_WAIT_SECONDS
+        """Release a program on one target, retrying with exponential backoff."""
+        backoff = INITIAL_BACKOFF_SECONDS
         while not program.partition.is_lost and name in program.cached:
             target = self.book.find(name)
             try:
                 if target is not None:
                     self.engines.release(target.section.address, program.id)
-                self.home.append_surely(program, [CacheReleased(target=name)])
+                self.home.append_until_replicated(program, [CacheReleased(target=name)])
                 self.metrics.count("release.confirmed")
                 return
             except TargetError as error:
                 self.metrics.count_retry("release")
-                log.info("Release of %s on %s: %s.", program.id, name, error)
+                log.info("Release of %s on %s failed: %s.", program.id, name, error)
             except (PartitionMovedError, Problem, KeyError):
                 return
-            eventlet.sleep(wait)
-            wait = min(wait * 2, LONGEST_WAIT_SECONDS)
+            eventlet.sleep(backoff)
+            backoff = min(backoff * 2, MAX_BACKOFF_SECONDS)
--- a/src/cedarchute/programs/requests.py
+++ b/src/cedarchute/programs/requests.py
@@ -1,4 +1,4 @@
-"""What callers ask of a program; checked at the border."""
+"""Validated request bodies of the caller API."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 Key = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9._-]{1,128}$")]
 
 
-def count_tokens(text: str) -> int:
-    """Return the tokens that some input counts for: one for each four bytes."""
+def estimate_tokens(text: str) -> int:
+    """Return the estimated number of tokens in `text`, rounded up."""
     return -(-len(text.encode()) // BYTES_PER_TOKEN)
 
 
 class BudgetRequest(Message):
-    """The bounds that a caller wants; what is left out comes from the workspace."""
+    """The requested limits; omitted ones default to those of the workspace."""
 
     tokens: int | None = Field(default=None, ge=1)
     calls: int | None = Field(default=None, ge=1)
@@ -30,7 +30,7 @@
 
 
 class OpenRequest(Message):
-    """Opens a program; `parent` makes it a sub-agent with a part of the budget."""
+    """Opens a program; with `parent`, a sub-agent within the parent's budget."""
 
     workspace: str
     budget: BudgetRequest = BudgetRequest()
@@ -40,7 +40,7 @@
 class CallRequest(Message):
     """One call: `messages` for a model, `body` for a plain service.
 
-    Only new messages are given; the history is kept by the system.
+    `messages` contains new messages only; the program's history is added to them.
     """
 
     service: str
@@ -54,7 +54,7 @@
 
     @model_validator(mode="after")
     def validate_content(self) -> CallRequest:
-        """Refuse a call with both contents or with none."""
+        """Require exactly one of `messages` and `body`."""
         if bool(self.messages) == (self.body is not None):
             raise ValueError("give either messages (model) or body (plain service)")
         return self
@@ -66,7 +66,7 @@
 
     @property
     def digest(self) -> str:
-        """A digest of what the call asks, to notice a key that is used again."""
+        """A digest of the content, to detect a key reused for another request."""
         content = self.model_dump(
             mode="json", exclude={"stream", "turn", "deadline_seconds"}
         )
@@ -75,5 +75,5 @@
 
     @property
     def input_tokens(self) -> int:
-        """The tokens that the new messages count for."""
-        return sum(count_tokens(message.content) for message in self.messages)
+        """The estimated number of tokens in the new messages."""
+        return sum(estimate_tokens(message.content) for message in self.messages)
--- a/src/cedarchute/programs/target_chooser.py
+++ b/src/cedarchute/programs/target_chooser.py
@@ -1,4 +1,4 @@
-"""Chooses the target of a program's next call, and the call's priority."""
+"""Selection of the target and priority of a program's next call."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TargetChooser:
-    """Tells the policy in force what it may know of a program."""
+    """Passes the state of a program to the active placement policy."""
 
     def __init__(
         self,
@@ -48,9 +48,9 @@
         max_tokens: int,
         excluded: set[str],
     ) -> TargetState | None:
-        """Return the target that a call should go to, or None."""
-        usable = self.book.usable(service, excluded)
-        if not usable:
+        """Return the target for a call, or None if no target is usable."""
+        usable_targets = self.book.usable(service, excluded)
+        if not usable_targets:
             return None
         if messages and not program.prefixes:
             program.prefixes = digest_prefixes(m.content for m in messages)
@@ -58,25 +58,25 @@
             program=program.id,
             prompt_tokens=sum(len(m.content) for m in messages) // 4,
             max_tokens=max_tokens,
-            cached_tokens=self.find_cached(program),
+            cached_tokens=self.find_cached_tokens(program),
             prefixes=program.prefixes,
             priority=self.priority_of(program),
             last_target=program.last_target,
             failure_domain=self.failure_domain,
         )
-        return self.policy().choose(request, usable, self.random_source)
+        return self.policy().choose(request, usable_targets, self.random_source)
 
-    def find_cached(self, program: Program) -> dict[str, int]:
-        """Return what sound targets have cached, those that are leaving included."""
-        found = {}
+    def find_cached_tokens(self, program: Program) -> dict[str, int]:
+        """Return the cached tokens by healthy target, draining ones included."""
+        cached_tokens = {}
         for name, tokens in program.cached.items():
             target = self.book.find(name)
             if target is not None and target.failures == 0:
-                found[name] = tokens
-        return found
+                cached_tokens[name] = tokens
+        return cached_tokens
 
     def priority_of(self, program: Program) -> int:
-        """Return the priority of a program's next call; lower goes first."""
+        """Return the priority of a program's next call; lower values run first."""
         site = self.configuration.site
         opened = program.opened
         if site is None or opened is None or not site.is_program_aware:
--- a/src/experiments/mutations.py
+++ b/src/experiments/mutations.py
@@ -36,7 +36,7 @@
         "the intent stands on holders before the call goes out",
         "programs/call_runner.py",
         "self.home.append(program, [intent])",
-        "self.home.note(program, intent)",
+        "self.home.append_without_waiting(program, intent)",
         FUZZ,
     ),
     Mutation(
@@ -71,7 +71,7 @@
         "the intent stands on holders before the call goes out",
         "programs/call_runner.py",
         "self.home.append(program, [intent])",
-        "self.home.note(program, intent)",
+        "self.home.append_without_waiting(program, intent)",
         WRITE_AHEAD,
     ),
     Mutation(
@@ -84,7 +84,7 @@
     Mutation(
         "an open call that may not repeat is not sent again",
         "programs/adopter.py",
-        "if entry.kind is ServiceKind.PLAIN and not entry.repeatable:",
+        "if call_state.kind is ServiceKind.PLAIN and not call_state.repeatable:",
         "if False:",
         KILLED + "test_an_open_call_that_may_not_repeat_is_not_sent_again",
     ),
@@ -98,7 +98,7 @@
     Mutation(
         "a known key gets the answer it has",
         "programs/call_runner.py",
-        "if known is not None:",
+        "if known_run is not None:",
         "if False:",
         PAUSED + "test_one_key_at_every_box_at_once_runs_once",
     ),
@@ -140,7 +140,7 @@
     Mutation(
         "a release is tried until it is confirmed",
         "programs/releaser.py",
-        "eventlet.sleep(wait)",
+        "eventlet.sleep(backoff)",
         "return",
         "tests/programs/test_releaser.py",
     ),
@@ -203,8 +203,8 @@
     Mutation(
         "a call's reserve is taken from the budget before it goes out",
         "programs/program.py",
-        "return self.opened.budget.tokens - self.spent_tokens - reserved - parts",
-        "return self.opened.budget.tokens - self.spent_tokens - parts",
+        "return self.opened.budget.tokens - self.spent_tokens - reserved - allocated",
+        "return self.opened.budget.tokens - self.spent_tokens - allocated",
         "tests/programs/test_program.py",
     ),
     Mutation(
@@ -259,7 +259,7 @@
     Mutation(
         "what programs share outlives them",
         "programs/model_caller.py",
-        "                self.hold_shared(call, target)\n",
+        "                self.retain_shared_prefix(call, target)\n",
         "",
         SHARED,
     ),
--- a/tests/programs/test_cache_mover.py
+++ b/tests/programs/test_cache_mover.py
@@ -16,28 +16,28 @@
 from cedarchute.verdict import Verdict
 
 
-class Engines:
-    """Notes what moves; an engine in `deaf` does not answer."""
+class FakeEngines:
+    """Records migrations; an engine whose port is in `unresponsive` times out."""
 
     def __init__(self):
-        self.moved = []
-        self.deaf = set()
+        self.migrations = []
+        self.unresponsive = set()
 
     def export_cache(self, address, program):
-        self.check(address)
+        self.check_responsive(address)
         return {"program": program, "from": address.port}
 
     def import_cache(self, address, exported):
-        self.check(address)
-        self.moved.append((exported["from"], address.port))
+        self.check_responsive(address)
+        self.migrations.append((exported["from"], address.port))
 
-    def check(self, address):
-        if address.port in self.deaf:
+    def check_responsive(self, address):
+        if address.port in self.unresponsive:
             raise TargetError("target_timeout", "silent", Verdict.MAY_HAVE_RUN)
 
 
-class World:
-    def __init__(self, importing=200_000.0, is_program_aware=True):
+class MigrationSetup:
+    def __init__(self, import_speed=200_000.0, is_program_aware=True):
         clock = StillClock()
         self.metrics = Metrics()
         self.book = TargetBook("box", "region", 20, clock, self.metrics)
@@ -49,11 +49,11 @@
                 running=0,
                 waiting=0,
                 max_running=8,
-                import_tokens_per_second=importing,
+                import_tokens_per_second=import_speed,
             )
             state = TargetState(f"t{number}", section, report=report)
             self.book.targets[state.name] = state
-        self.engines = Engines()
+        self.engines = FakeEngines()
         site = SimpleNamespace(is_program_aware=is_program_aware)
         self.mover = CacheMover(
             self.engines,
@@ -69,9 +69,9 @@
 
 
 def test_the_cache_comes_from_where_most_of_it_is():
-    world = World()
-    world.prepare({"t0": 500, "t1": 900}, "t2")
-    assert world.engines.moved == [(2, 3)]
+    setup = MigrationSetup()
+    setup.prepare({"t0": 500, "t1": 900}, "t2")
+    assert setup.engines.migrations == [(2, 3)]
 
 
 @pytest.mark.parametrize(
@@ -79,23 +79,27 @@
     [({"t0": 900}, "t0"), ({"t0": 900, "t1": 880}, "t1"), ({}, "t1")],
 )
 def test_nothing_moves_that_is_there_already(cached, target):
-    world = World()
-    world.prepare(cached, target)
-    assert world.engines.moved == []
+    setup = MigrationSetup()
+    setup.prepare(cached, target)
+    assert setup.engines.migrations == []
 
 
 def test_nothing_moves_where_computing_is_faster_or_policy_is_a_baseline():
-    for world in (World(importing=0.0), World(100.0), World(is_program_aware=False)):
-        world.prepare({"t0": 900}, "t1")
-        assert world.engines.moved == []
+    for setup in (
+        MigrationSetup(import_speed=0.0),
+        MigrationSetup(100.0),
+        MigrationSetup(is_program_aware=False),
+    ):
+        setup.prepare({"t0": 900}, "t1")
+        assert setup.engines.migrations == []
 
 
 def test_an_engine_that_does_not_export_is_left_alone_for_a_while():
-    world = World()
-    world.engines.deaf.add(1)
-    world.prepare({"t0": 900, "t1": 300}, "t2")
-    assert world.engines.moved == []
-    assert world.metrics.totals["cache.move_failed"] == 1
-    world.prepare({"t0": 900, "t1": 300}, "t2")
-    assert world.engines.moved == [(2, 3)]
-    assert world.metrics.totals["cache.move_failed"] == 1
+    setup = MigrationSetup()
+    setup.engines.unresponsive.add(1)
+    setup.prepare({"t0": 900, "t1": 300}, "t2")
+    assert setup.engines.migrations == []
+    assert setup.metrics.totals["cache.move_failed"] == 1
+    setup.prepare({"t0": 900, "t1": 300}, "t2")
+    assert setup.engines.migrations == [(2, 3)]
+    assert setup.metrics.totals["cache.move_failed"] == 1
--- a/tests/programs/test_cache_sweeper.py
+++ b/tests/programs/test_cache_sweeper.py
@@ -14,22 +14,22 @@
 from cedarchute.programs.cache_sweeper import CacheSweeper
 
 
-class Engines:
-    """Notes which engines are asked what they hold."""
+class FakeEngines:
+    """Counts the requests for held programs by engine address."""
 
     def __init__(self):
-        self.asked = Counter()
+        self.requests = Counter()
 
     def read_held(self, address):
-        self.asked[str(address)] += 1
+        self.requests[str(address)] += 1
         return []
 
 
-def make_configuration(engines):
+def make_configuration(engine_count):
     lines = ["[site]", "name = large", "[service agent]", "kind = model", "model = m"]
     lines += ["[service bank]", "kind = plain", "[target bank-1]", "service = bank"]
     lines += ["address = 127.0.0.1:9", "failure_domain = a"]
-    for number in range(engines):
+    for number in range(engine_count):
         lines += [f"[target e{number}]", "service = agent", "failure_domain = a"]
         lines.append(f"address = 127.0.0.1:{1000 + number}")
     configuration = Configuration(Metrics())
@@ -58,7 +58,7 @@
             holder=f"b{number}.1",
         )
         view.put_box(record)
-    asked = Engines()
+    fake_engines = FakeEngines()
     configuration = make_configuration(engines)
     for number in range(boxes):
         sweeper = CacheSweeper(
@@ -66,11 +66,11 @@
             view,
             None,
             configuration,
-            asked,
+            fake_engines,
             None,
             30.0,
             StillClock(),
             Metrics(),
         )
         sweeper.sweep_once()
-    assert asked.asked == {f"127.0.0.1:{1000 + n}": 1 for n in range(engines)}
+    assert fake_engines.requests == {f"127.0.0.1:{1000 + n}": 1 for n in range(engines)}
--- a/tests/programs/test_call_order.py
+++ b/tests/programs/test_call_order.py
@@ -15,7 +15,7 @@
     world.close()
 
 
-def wait_all(runs):
+def wait_until_done(runs):
     with eventlet.Timeout(5):
         while not all(run.is_done for run in runs):
             eventlet.sleep(0.005)
@@ -24,61 +24,61 @@
 def test_calls_of_one_program_run_one_after_the_other(world):
     program = world.open(0)
     running = []
-    overlaps = []
+    concurrency = []
 
-    def before(box):
+    def record_start(box):
         running.append(box)
-        overlaps.append(len(running))
+        concurrency.append(len(running))
         eventlet.sleep(0.01)
 
-    world.service.before = before
+    world.service.before = record_start
     world.service.after = lambda box: running.pop()
     box = world.boxes[0]
-    found = box.home.find(program)
+    opened = box.home.find(program)
     runs = [
-        box.runner.start(found, f"k{n}", CallRequest(service="transfer", body=n))
+        box.runner.start(opened, f"k{n}", CallRequest(service="transfer", body=n))
         for n in range(5)
     ]
-    wait_all(runs)
+    wait_until_done(runs)
     assert world.service.order == [f"{program}:k{n}" for n in range(5)]
-    assert max(overlaps) == 1
+    assert max(concurrency) == 1
 
 
 def test_a_call_out_of_its_turn_is_refused_and_did_not_run(world):
     program = world.open(0)
     box = world.boxes[0]
-    found = box.home.find(program)
+    opened = box.home.find(program)
     with pytest.raises(Problem) as refusal:
-        box.runner.start(found, "k", CallRequest(service="transfer", body=1, turn=2))
+        box.runner.start(opened, "k", CallRequest(service="transfer", body=1, turn=2))
     assert refusal.value.code == "out_of_order"
     assert refusal.value.verdict == "not run"
     assert not world.service.ran
-    run = box.runner.start(found, "k", CallRequest(service="transfer", body=1, turn=1))
-    wait_all([run])
+    run = box.runner.start(opened, "k", CallRequest(service="transfer", body=1, turn=1))
+    wait_until_done([run])
     assert run.outcome.verdict == "ran"
 
 
 def test_a_call_whose_deadline_passed_while_it_waited_is_dropped(world):
     program = world.open(0)
     box = world.boxes[0]
-    found = box.home.find(program)
+    opened = box.home.find(program)
     world.service.before = lambda _: world.clock.advance(1.0)
-    first = box.runner.start(found, "a", CallRequest(service="transfer", body=1))
-    late = box.runner.start(
-        found, "b", CallRequest(service="transfer", body=2, deadline_seconds=0.5)
+    first = box.runner.start(opened, "a", CallRequest(service="transfer", body=1))
+    expired = box.runner.start(
+        opened, "b", CallRequest(service="transfer", body=2, deadline_seconds=0.5)
     )
-    wait_all([first, late])
-    assert late.problem.code == "deadline"
-    assert late.problem.verdict == "not run"
+    wait_until_done([first, expired])
+    assert expired.problem.code == "deadline"
+    assert expired.problem.verdict == "not run"
     assert world.service.ran == {f"{program}:a": 1}
 
 
 def test_a_key_used_again_for_another_request_is_refused(world):
     program = world.open(0)
     box = world.boxes[0]
-    found = box.home.find(program)
-    run = box.runner.start(found, "k", CallRequest(service="transfer", body=1))
-    wait_all([run])
+    opened = box.home.find(program)
+    run = box.runner.start(opened, "k", CallRequest(service="transfer", body=1))
+    wait_until_done([run])
     with pytest.raises(Problem) as refusal:
-        box.runner.start(found, "k", CallRequest(service="transfer", body=2))
+        box.runner.start(opened, "k", CallRequest(service="transfer", body=2))
     assert refusal.value.code == "key_reused"
--- a/tests/programs/test_dispatcher.py
+++ b/tests/programs/test_dispatcher.py
@@ -24,14 +24,14 @@
 
 
 def test_an_attempt_that_may_have_run_is_never_followed_by_not_run(world):
-    """A model call breaks off, then every other target refuses."""
+    """A model stream breaks off; every other target then refuses the call."""
     program = world.open(0)
     box = world.boxes[0]
-    calls = []
+    request_ids = []
 
     def generate(address, request, seconds):
-        calls.append(request.request_id)
-        verdict = Verdict.MAY_HAVE_RUN if len(calls) == 1 else Verdict.NOT_RUN
+        request_ids.append(request.request_id)
+        verdict = Verdict.MAY_HAVE_RUN if len(request_ids) == 1 else Verdict.NOT_RUN
         raise TargetError("target_error", "gone", verdict)
         yield
 
--- a/tests/programs/test_program.py
+++ b/tests/programs/test_program.py
@@ -15,7 +15,7 @@
     world.close()
 
 
-def open_with(world, parent=None, **budget):
+def open_with_budget(world, parent=None, **budget):
     request = OpenRequest(
         workspace="members", budget=BudgetRequest(**budget), parent=parent
     )
@@ -23,12 +23,12 @@
 
 
 def test_a_call_in_progress_counts_with_all_that_it_may_cost(world):
-    program = open_with(world, tokens=100, calls=2)
-    seen = []
+    program = open_with_budget(world, tokens=100, calls=2)
+    limits = []
     found = world.boxes[0].home.find(program.id)
 
     def generate(address, request, seconds):
-        seen.append((found.left_tokens, request.max_tokens))
+        limits.append((found.left_tokens, request.max_tokens))
         yield from type(engines).generate(engines, address, request, seconds)
 
     engines = world.boxes[0].runner.dispatcher.models.engines
@@ -36,13 +36,13 @@
     messages = [{"role": "user", "content": "x" * 40}]
     request = {"service": "agent", "messages": messages, "max_tokens": 500}
     world.call(world.boxes[0], program.id, "k", **request)
-    # The answer is cut to what the budget has left beside the input.
-    assert seen == [(0, 90)]
+    # max_tokens is limited to the budget that remains after the input tokens.
+    assert limits == [(0, 90)]
     assert found.left_tokens == 100 - 10 - 2
 
 
 def test_a_program_never_exceeds_its_calls(world):
-    program = open_with(world, tokens=100, calls=1)
+    program = open_with_budget(world, tokens=100, calls=1)
     box = world.boxes[0]
     assert world.call(box, program.id, "a", service="transfer", body=1)
     refused = world.call(box, program.id, "b", service="transfer", body=1)
@@ -51,7 +51,7 @@
 
 
 def test_a_call_that_may_have_run_counts_as_spent(world):
-    program = open_with(world, tokens=100, calls=1)
+    program = open_with_budget(world, tokens=100, calls=1)
     world.service.behaviour = "lost"
     box = world.boxes[0]
     world.call(box, program.id, "a", service="transfer", body=1)
@@ -61,23 +61,23 @@
 
 
 def test_sub_agents_share_what_their_parent_has(world):
-    parent = open_with(world, tokens=100, calls=4)
-    child = open_with(world, parent=parent.id, tokens=60, calls=2)
+    parent = open_with_budget(world, tokens=100, calls=4)
+    child = open_with_budget(world, parent=parent.id, tokens=60, calls=2)
     with pytest.raises(Problem) as refusal:
-        open_with(world, parent=parent.id, tokens=60, calls=1)
+        open_with_budget(world, parent=parent.id, tokens=60, calls=1)
     assert refusal.value.code == "budget_spent"
     world.call(world.boxes[0], child.id, "k", service="transfer", body=1)
     home = world.boxes[0].home
     home.end(child, "done")
     assert parent.left_tokens == 100
-    assert parent.left_calls == 3
+    assert parent.remaining_calls == 3
 
 
 def test_a_part_whose_child_never_came_to_be_is_given_back(world):
-    parent = open_with(world, tokens=100, calls=4)
+    parent = open_with_budget(world, tokens=100, calls=4)
     home = world.boxes[0].home
-    child = open_with(world, parent=parent.id, tokens=60, calls=2)
-    # The box is lost between the record of the part and that of the child.
+    child = open_with_budget(world, parent=parent.id, tokens=60, calls=2)
+    # Simulates a failure between the reservation and the record of the child.
     home.replicator.forget(child.partition, child.id)
     with eventlet.Timeout(5):
         while any(child.id in b.holder.held_programs for b in world.boxes.values()):
--- a/tests/programs/test_releaser.py
+++ b/tests/programs/test_releaser.py
@@ -9,13 +9,13 @@
 
 @pytest.fixture
 def world(monkeypatch):
-    monkeypatch.setattr(releaser, "FIRST_WAIT_SECONDS", 0.01)
+    monkeypatch.setattr(releaser, "INITIAL_BACKOFF_SECONDS", 0.01)
     world = FakeWorld()
     yield world
     world.close()
 
 
-def run_and_end(world):
+def end_with_unconfirmed_release(world):
     program = world.open(0)
     messages = [{"role": "user", "content": "Hi"}]
     world.call(world.boxes[0], program, "k", service="agent", messages=messages)
@@ -36,13 +36,13 @@
 
 
 def test_a_release_goes_on_until_the_engine_confirms(world):
-    run_and_end(world)
+    end_with_unconfirmed_release(world)
     world.engines.is_deaf = False
     wait_released(world)
 
 
 def test_a_release_is_taken_over_with_the_program(world):
-    run_and_end(world)
+    end_with_unconfirmed_release(world)
     world.kill(0)
     world.engines.is_deaf = False
     world.pass_lease()
--- a/tests/programs/test_write_ahead.py
+++ b/tests/programs/test_write_ahead.py
@@ -11,15 +11,15 @@
     world.close()
 
 
-def cut_and_pass(world):
-    """Cut a box off and let another one take its programs over."""
+def make_isolation_hook(world):
+    """Return a hook that isolates a box until another takes over its programs."""
 
-    def strike(port):
+    def isolate(port):
         world.service.before = world.service.after = None
         world.network.cut.add(port)
         world.pass_lease()
 
-    return strike
+    return isolate
 
 
 def transfer(world, program, box, key="k"):
@@ -39,12 +39,12 @@
 def test_an_outcome_is_told_only_when_a_new_home_would_tell_the_same(world):
     program = world.open(0)
     old = world.boxes[0]
-    world.service.after = cut_and_pass(world)
-    told = transfer(world, program, old)
+    world.service.after = make_isolation_hook(world)
+    first = transfer(world, program, old)
     world.settle()
-    later = transfer(world, program, world.find_home(program))
-    assert later.verdict == "may have run"
-    assert told is None or told.verdict == later.verdict
+    second = transfer(world, program, world.find_home(program))
+    assert second.verdict == "may have run"
+    assert first is None or first.verdict == second.verdict
 
 
 def test_a_home_paused_between_copy_and_dispatch_sends_nothing(world):
@@ -52,13 +52,13 @@
     old = world.boxes[0]
     attempt = old.runner.dispatcher.attempt
 
-    def pause_first(call, **named):
-        cut_and_pass(world)(old.port)
-        return attempt(call, **named)
+    def attempt_after_isolation(call, **options):
+        make_isolation_hook(world)(old.port)
+        return attempt(call, **options)
 
-    old.runner.dispatcher.attempt = pause_first
-    told = transfer(world, program, old)
-    assert told is None or told.verdict == "may have run"
+    old.runner.dispatcher.attempt = attempt_after_isolation
+    first = transfer(world, program, old)
+    assert first is None or first.verdict == "may have run"
     assert not world.service.ran
 
 
@@ -74,6 +74,6 @@
         if box is not old and program in box.home.programs
     )
     assert transfer(world, program, new, "second").verdict == "ran"
-    # The old home would refuse the turn of this call, had it not to confirm first.
+    # Without an ownership check the old owner would refuse the turn as not run.
     stale = world.call(old, program, "second", service="transfer", body=1, turn=1)
     assert stale is None or stale.verdict == "may have run"
--- a/tests/stateful/test_programs_machine.py
+++ b/tests/stateful/test_programs_machine.py
@@ -28,7 +28,7 @@
     (sealing, "RETRY_SECONDS"): 0.005,
     (sealing, "POLL_SECONDS"): 0.005,
     (recovery, "READ_RETRY_SECONDS"): 0.005,
-    (home, "RETRY_APPEND_SECONDS"): 0.01,
+    (home, "APPEND_RETRY_SECONDS"): 0.01,
     (partition_keeper, "JOIN_SECONDS"): 0.3,
     (partition_keeper, "GATE_SECONDS"): 0.1,
 }
