--- a/src/cedarchute/programs/cache_sweeper.py
+++ b/src/cedarchute/programs/cache_sweeper.py
@@ -59,8 +59,8 @@
         home: ProgramHome,
         configuration: Configuration,
         engines: EngineClient,
-        client: PeerClient,
-        seconds: float,
+        peer_client: PeerClient,
+        interval_seconds: float,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -69,15 +69,15 @@
         self.home = home
         self.configuration = configuration
         self.engines = engines
-        self.client = client
-        self.seconds = seconds
+        self.peer_client = peer_client
+        self.interval_seconds = interval_seconds
         self.clock = clock
         self.metrics = metrics
 
     def sweep_forever(self) -> None:
         """Sweep periodically."""
         while True:
-            eventlet.sleep(self.seconds)
+            eventlet.sleep(self.interval_seconds)
             self.sweep_once()
 
     def sweep_once(self) -> None:
@@ -140,7 +140,7 @@
             if owner.name == self.box:
                 reply = self.on_lives(request)
             else:
-                reply = self.client.send(
+                reply = self.peer_client.send(
                     owner.peer_address, "lives", request, LiveProgramsReply
                 )
         except PeerError:
--- a/src/cedarchute/programs/dispatcher.py
+++ b/src/cedarchute/programs/dispatcher.py
@@ -48,10 +48,10 @@
         chooser: TargetChooser,
         models: ModelCaller,
         mover: CacheMover,
-        services: ServiceClient,
+        service_client: ServiceClient,
         replicator: Replicator,
-        append: Callable[[Program, Sequence[ProgramRecord]], None],
-        allowance: RetryAllowance,
+        append_records: Callable[[Program, Sequence[ProgramRecord]], None],
+        retry_allowance: RetryAllowance,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -59,10 +59,10 @@
         self.chooser = chooser
         self.models = models
         self.mover = mover
-        self.services = services
+        self.service_client = service_client
         self.replicator = replicator
-        self.append = append
-        self.allowance = allowance
+        self.append_records = append_records
+        self.retry_allowance = retry_allowance
         self.clock = clock
         self.metrics = metrics
 
@@ -88,7 +88,7 @@
         PartitionMovedError
             When another box owns the program now.
         """
-        self.allowance.on_first_try()
+        self.retry_allowance.on_first_try()
         excluded: set[str] = set()
         while True:
             try:
@@ -109,7 +109,7 @@
                 key=call.intent.key, target=target.name, attempt=attempt
             )
             try:
-                self.append(call.program, [retargeted])
+                self.append_records(call.program, [retargeted])
             except Problem:
                 return failure
             call.run.restart(attempt)
@@ -132,7 +132,7 @@
         )
         if target is None:
             return None
-        if not self.allowance.take():
+        if not self.retry_allowance.take():
             self.metrics.count_refusal("retry_allowance")
             return None
         return target
@@ -192,7 +192,7 @@
         self, call: DispatchedCall, target: TargetState, seconds: float
     ) -> CallFinished:
         """Send the call once to a plain service."""
-        response_text = self.services.call(
+        response_text = self.service_client.call(
             target.section.address,
             f"{call.program.id}:{call.intent.key}",
             call.program.id,
--- a/src/cedarchute/programs/home.py
+++ b/src/cedarchute/programs/home.py
@@ -54,7 +54,7 @@
         limits: WorkspaceLimits,
         admission: Admission,
         settings: ServingSection,
-        own_partition: Callable[[], OwnedPartition],
+        get_own_partition: Callable[[], OwnedPartition],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -62,7 +62,7 @@
         self.limits = limits
         self.admission = admission
         self.settings = settings
-        self.own_partition = own_partition
+        self.get_own_partition = get_own_partition
         self.clock = clock
         self.metrics = metrics
         self.programs: dict[str, Program] = {}
@@ -138,7 +138,7 @@
             return self._open_child(request, section)
         self.admission.admit()
         try:
-            return self._open_in(self.own_partition(), request, section, None)
+            return self._open_in(self.get_own_partition(), request, section, None)
         except PartitionMovedError as error:
             # Ownership was lost while the box was cut off; the box will get a new
             # partition, so the caller may retry.
--- a/src/cedarchute/programs/target_chooser.py
+++ b/src/cedarchute/programs/target_chooser.py
@@ -27,14 +27,14 @@
     def __init__(
         self,
         book: TargetBook,
-        policy: Callable[[], PlacementPolicy],
+        get_policy: Callable[[], PlacementPolicy],
         configuration: Configuration,
         failure_domain: str,
         clock: Clock,
         random_source: random.Random,
     ) -> None:
         self.book = book
-        self.policy = policy
+        self.get_policy = get_policy
         self.configuration = configuration
         self.failure_domain = failure_domain
         self.clock = clock
@@ -64,7 +64,7 @@
             last_target=program.last_target,
             failure_domain=self.failure_domain,
         )
-        return self.policy().choose(request, usable_targets, self.random_source)
+        return self.get_policy().choose(request, usable_targets, self.random_source)
 
     def find_cached_tokens(self, program: Program) -> dict[str, int]:
         """Return the cached tokens by healthy target, draining ones included."""
