--- a/src/cedarchute/programs/cache_mover.py
+++ b/src/cedarchute/programs/cache_migrator.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from cedarchute.scheduling.program_aware import is_worth_moving
+from cedarchute.scheduling.program_aware import is_transfer_cheaper
 from cedarchute.targets.target_error import TargetError
 
 if TYPE_CHECKING:
@@ -13,14 +13,14 @@
     from cedarchute.operators.configuration import Configuration
     from cedarchute.programs.program import Program
     from cedarchute.scheduling.prefix_index import PrefixIndex
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.engine_client import EngineClient
 
 log = logging.getLogger("cedarchute.dispatch")
 
 
-class CacheMover:
+class CacheMigrator:
     """Migrates the cache of a program to the target of its next call.
 
     The cache is exported from the engine that holds the most of it. The record that
@@ -32,7 +32,7 @@
     def __init__(
         self,
         engines: EngineClient,
-        book: TargetBook,
+        book: TargetDirectory,
         index: PrefixIndex,
         configuration: Configuration,
         metrics: Metrics,
@@ -43,17 +43,17 @@
         self.configuration = configuration
         self.metrics = metrics
 
-    def prepare(self, program: Program, target: TargetState) -> None:
+    def migrate_if_worthwhile(self, program: Program, target: TargetState) -> None:
         """Migrate the cache to `target` if that is faster than recomputing it."""
         site = self.configuration.site
         if site is None or not site.is_program_aware:
             return
         local_tokens = max(
-            program.cached.get(target.name, 0),
-            self.index.count_held_tokens(program.prefixes, target.name),
+            program.cached_tokens_by_target.get(target.name, 0),
+            self.index.count_cached_tokens(program.prefixes, target.name),
         )
         source, tokens = self.find_source_engine(program, target)
-        if source is None or not is_worth_moving(target, local_tokens, tokens):
+        if source is None or not is_transfer_cheaper(target, local_tokens, tokens):
             return
         engine = source
         try:
@@ -64,7 +64,7 @@
             self.metrics.count("cache.move_failed")
             log.info("Cache migration of %s failed: %s.", program.id, error)
             # Keeps the next program from waiting for the same failing engine.
-            self.book.rest(engine)
+            self.book.back_off(engine)
             return
         self.metrics.count("cache.moved")
 
@@ -74,7 +74,7 @@
         """Return the healthy engine with the most cached tokens, and their number."""
         best_source: TargetState | None = None
         most_tokens = 0
-        for name, tokens in program.cached.items():
+        for name, tokens in program.cached_tokens_by_target.items():
             source = self.book.find(name)
             if source is None or source is target or source.failures:
                 continue
--- a/src/cedarchute/programs/call_run.py
+++ b/src/cedarchute/programs/call_run.py
@@ -94,7 +94,7 @@
         self.problem = problem
         self._notify()
 
-    def move(self) -> None:
+    def mark_moved(self) -> None:
         """End the run because another box owns the program now."""
         if not self.is_done:
             self.is_moved = True
--- a/src/cedarchute/programs/part_keeper.py
+++ b/src/cedarchute/programs/child_budgets.py
@@ -11,15 +11,15 @@
 if TYPE_CHECKING:
     from cedarchute.copies.owned_partition import OwnedPartition
     from cedarchute.metrics import Metrics
-    from cedarchute.programs.home import ProgramHome
     from cedarchute.programs.program import Program
+    from cedarchute.programs.program_registry import ProgramRegistry
     from cedarchute.programs.requests import OpenRequest
 
 
 class ChildBudgets:
     """Records reservations and refunds for sub-agents on their parents' logs."""
 
-    def __init__(self, home: ProgramHome, metrics: Metrics) -> None:
+    def __init__(self, home: ProgramRegistry, metrics: Metrics) -> None:
         self.home = home
         self.metrics = metrics
 
@@ -35,13 +35,13 @@
         Problem
             ``budget_spent`` when the parent has less than requested.
         """
-        tokens = request.budget.tokens or max(1, parent.left_tokens // 2)
+        tokens = request.budget.tokens or max(1, parent.remaining_tokens // 2)
         calls = request.budget.calls or max(1, parent.remaining_calls // 2)
-        if tokens > parent.left_tokens or calls > parent.remaining_calls:
+        if tokens > parent.remaining_tokens or calls > parent.remaining_calls:
             self.metrics.count_refusal("budget_spent")
             raise Problem(
                 "budget_spent",
-                f"The parent has {parent.left_tokens} tokens and "
+                f"The parent has {parent.remaining_tokens} tokens and "
                 f"{parent.remaining_calls} calls left, less than the {tokens} and "
                 f"{calls} asked for.",
                 status=403,
@@ -55,7 +55,7 @@
         """Return the unused budget of a sub-agent to its parent."""
         assert program.opened is not None
         parent = self.home.programs.get(program.opened.parent or "")
-        if parent is None or program.id not in parent.parts:
+        if parent is None or program.id not in parent.child_reservations:
             return
         returned = BudgetReturned(
             child=program.id,
@@ -64,7 +64,7 @@
         )
         self.home.append(parent, [returned])
 
-    def give_all_back(self, partition: OwnedPartition) -> None:
+    def refund_missing_children(self, partition: OwnedPartition) -> None:
         """Refund the reservations of sub-agents that ended or were never opened.
 
         A box can fail between the records on the parent's and on the child's log; the
@@ -73,7 +73,7 @@
         for program in list(self.home.programs.values()):
             if program.partition is not partition:
                 continue
-            for child_id in list(program.parts):
+            for child_id in list(program.child_reservations):
                 child = self.home.programs.get(child_id)
                 if child is None:
                     returned = BudgetReturned(
--- a/src/cedarchute/programs/pack_limits.py
+++ b/src/cedarchute/programs/compression_limits.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-PACK_AFTER_SECONDS: Final = 5.0
+COMPRESS_AFTER_IDLE_SECONDS: Final = 5.0
 # Characters compressed per reaper interval; compression blocks the event loop, so
 # this must take less time than the gap between two streamed tokens.
-PACK_AT_ONCE: Final = 256_000
+MAX_COMPRESSED_CHARACTERS: Final = 256_000
--- a/src/cedarchute/programs/dispatch.py
+++ b/src/cedarchute/programs/dispatched_call.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cedarchute.programs.call_entry import CallState
     from cedarchute.programs.call_run import CallRun
+    from cedarchute.programs.call_state import CallState
     from cedarchute.programs.program import Program
     from cedarchute.programs.records import CallIntended, ChatMessage
 
--- a/src/cedarchute/programs/dispatcher.py
+++ b/src/cedarchute/programs/dispatcher.py
@@ -16,15 +16,15 @@
 
     from cedarchute.clock import Clock
     from cedarchute.copies.replicator import Replicator
-    from cedarchute.limits.retry_allowance import RetryAllowance
+    from cedarchute.limits.retry_budget import RetryBudget
     from cedarchute.metrics import Metrics
-    from cedarchute.programs.cache_mover import CacheMover
-    from cedarchute.programs.dispatch import DispatchedCall
+    from cedarchute.programs.cache_migrator import CacheMigrator
+    from cedarchute.programs.dispatched_call import DispatchedCall
     from cedarchute.programs.model_caller import ModelCaller
     from cedarchute.programs.program import Program
     from cedarchute.programs.records import ProgramRecord
     from cedarchute.programs.target_chooser import TargetChooser
-    from cedarchute.scheduling.target_book import TargetBook
+    from cedarchute.scheduling.target_directory import TargetDirectory
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.service_client import ServiceClient
 
@@ -44,20 +44,20 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetDirectory,
         chooser: TargetChooser,
         models: ModelCaller,
-        mover: CacheMover,
+        mover: CacheMigrator,
         service_client: ServiceClient,
         replicator: Replicator,
         append_records: Callable[[Program, Sequence[ProgramRecord]], None],
-        retry_allowance: RetryAllowance,
+        retry_allowance: RetryBudget,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self.book = book
         self.chooser = chooser
-        self.models = models
+        self.model_caller = models
         self.mover = mover
         self.service_client = service_client
         self.replicator = replicator
@@ -88,7 +88,7 @@
         PartitionMovedError
             When another box owns the program now.
         """
-        self.retry_allowance.on_first_try()
+        self.retry_allowance.record_first_attempt()
         excluded: set[str] = set()
         while True:
             try:
@@ -147,7 +147,7 @@
         """
         target_state = self.book.find(target)
         if target_state is not None:
-            self.models.engines.cancel(target_state.section.address, request_id)
+            self.model_caller.engines.cancel(target_state.section.address, request_id)
 
     def attempt(self, call: DispatchedCall, *, is_resumed: bool) -> CallFinished:
         """Send the call once to its recorded target."""
@@ -159,24 +159,24 @@
             raise TargetError("deadline", "no time left", Verdict.NOT_RUN)
         if not is_resumed:
             if call.intent.service_kind is ServiceKind.MODEL:
-                self.mover.prepare(call.program, target)
+                self.mover.migrate_if_worthwhile(call.program, target)
             self.confirm_owned(call)
         priority = self.chooser.priority_of(call.program)
-        self.book.on_sent(target, call.intent.input_tokens, priority)
+        self.book.on_request_sent(target, call.intent.input_tokens, priority)
         try:
             if call.intent.service_kind is ServiceKind.MODEL:
-                outcome = self.models.attempt(
+                outcome = self.model_caller.attempt(
                     call, target, priority, is_resumed, max(seconds, 1)
                 )
             else:
                 outcome = self.attempt_plain(call, target, seconds)
         except TargetError as error:
-            self.book.on_failed(target, error.reason, priority)
+            self.book.on_request_failed(target, error.reason, priority)
             raise
         except BaseException:
-            self.book.on_done(target, priority)
+            self.book.on_request_succeeded(target, priority)
             raise
-        self.book.on_done(target, priority)
+        self.book.on_request_succeeded(target, priority)
         return outcome
 
     def confirm_owned(self, call: DispatchedCall) -> None:
--- a/src/cedarchute/programs/model_caller.py
+++ b/src/cedarchute/programs/model_caller.py
@@ -6,7 +6,7 @@
 
 from cedarchute.programs.records import CallFinished
 from cedarchute.targets.generate_request import GenerateRequest
-from cedarchute.targets.stream_piece import StreamEnd, StreamPiece
+from cedarchute.targets.stream_chunk import StreamChunk, StreamEnd
 from cedarchute.targets.target_error import TargetError
 from cedarchute.verdict import Verdict
 
@@ -16,9 +16,9 @@
     from cedarchute.clock import Clock
     from cedarchute.metrics import Metrics
     from cedarchute.operators.configuration import Configuration
-    from cedarchute.programs.dispatch import DispatchedCall
+    from cedarchute.programs.dispatched_call import DispatchedCall
     from cedarchute.scheduling.prefix_index import PrefixIndex
-    from cedarchute.scheduling.shared_holds import SharedHolds
+    from cedarchute.scheduling.prefix_pinner import PrefixPinner
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.engine_client import EngineClient
 
@@ -32,7 +32,7 @@
         self,
         engines: EngineClient,
         prefix_index: PrefixIndex,
-        shared_holds: SharedHolds,
+        shared_holds: PrefixPinner,
         configuration: Configuration,
         clock: Clock,
         metrics: Metrics,
@@ -88,18 +88,20 @@
         self,
         call: DispatchedCall,
         target: TargetState,
-        stream: Iterable[StreamPiece | StreamEnd],
+        stream: Iterable[StreamChunk | StreamEnd],
     ) -> CallFinished:
         """Add the pieces of a stream to the run; return the outcome at its end."""
         for item in stream:
-            if isinstance(item, StreamPiece):
+            if isinstance(item, StreamChunk):
                 call.program.partition.check_owned()
                 call.run.add(item.text)
                 if self.clock.wall() > call.intent.deadline:
                     self.engines.cancel(target.section.address, call.request_id)
                     raise TargetError("deadline", "time spent", Verdict.MAY_HAVE_RUN)
                 continue
-            target.learn(item.prompt_tokens, item.cached_tokens, item.completion_tokens)
+            target.record_completion(
+                item.prompt_tokens, item.cached_tokens, item.completion_tokens
+            )
             return CallFinished(
                 key=call.intent.key,
                 verdict=Verdict.RAN,
@@ -121,7 +123,7 @@
         service = site.services.get(call.intent.service)
         if service is None:
             return
-        self.shared_holds.on_finished(
+        self.shared_holds.on_call_finished(
             target,
             service.model or "",
             call.program.prefixes,
@@ -133,7 +135,7 @@
         site = self.configuration.site
         assert site is not None
         program = call.program
-        self.prefix_index.note(program.prefixes, program.id, call.state.target)
+        self.prefix_index.record_prompt(program.prefixes, program.id, call.state.target)
         return GenerateRequest(
             request_id=call.request_id,
             program=program.id,
--- a/src/cedarchute/programs/program.py
+++ b/src/cedarchute/programs/program.py
@@ -7,7 +7,7 @@
 from eventlet.semaphore import Semaphore
 
 from cedarchute.operators.site_file import ServiceKind
-from cedarchute.programs.call_entry import CallState
+from cedarchute.programs.call_state import CallState
 from cedarchute.programs.records import (
     BudgetReserved,
     BudgetReturned,
@@ -53,22 +53,22 @@
         self.id = program_id
         self.partition = partition
         self.log = log
-        self.order = Semaphore(1)
+        self.turn_lock = Semaphore(1)
         self.runs: dict[str, CallRun] = {}
         self.opened: ProgramOpened | None = None
         self.ended: ProgramEnded | None = None
         self.is_ending = False
         self.is_ready = True
         self.calls: dict[str, CallState] = {}
-        self.parts: dict[str, BudgetReserved] = {}
-        self.cached: dict[str, int] = {}
+        self.child_reservations: dict[str, BudgetReserved] = {}
+        self.cached_tokens_by_target: dict[str, int] = {}
         self.prefixes: tuple[bytes, ...] = ()
         self.last_target: str | None = None
         self.spent_tokens = 0
         self.spent_calls = 0
         self.attained_tokens = 0
-        self.touched_at = 0.0
-        self.takeovers = 0
+        self.last_active_at = 0.0
+        self.takeover_count = 0
 
     @classmethod
     def replay(
@@ -95,17 +95,17 @@
             case CallFinished():
                 self._on_finished(record, index)
             case BudgetReserved():
-                self.parts[record.child] = record
+                self.child_reservations[record.child] = record
             case BudgetReturned():
-                if self.parts.pop(record.child, None) is not None:
+                if self.child_reservations.pop(record.child, None) is not None:
                     self.spent_tokens += record.spent_tokens
                     self.spent_calls += record.spent_calls
             case ProgramEnded():
                 self.ended = record
             case CacheReleased():
-                self.cached.pop(record.target, None)
+                self.cached_tokens_by_target.pop(record.target, None)
             case TakenOver():
-                self.takeovers += 1
+                self.takeover_count += 1
 
     def _on_intended(self, record: CallIntended, index: int) -> None:
         call_state = CallState(
@@ -125,7 +125,7 @@
 
     def _on_target(self, call_state: CallState) -> None:
         if call_state.kind is ServiceKind.MODEL:
-            self.cached.setdefault(call_state.target, 0)
+            self.cached_tokens_by_target.setdefault(call_state.target, 0)
             self.last_target = call_state.target
 
     def _on_finished(self, record: CallFinished, index: int) -> None:
@@ -140,7 +140,7 @@
         self.spent_calls += 1
         if call_state.kind is ServiceKind.MODEL and record.verdict is Verdict.RAN:
             length = record.prompt_tokens + record.completion_tokens
-            self.cached[call_state.target] = length
+            self.cached_tokens_by_target[call_state.target] = length
             computed = length - record.cached_tokens
             self.attained_tokens += max(0, computed)
 
@@ -156,18 +156,18 @@
         return [call for call in self.calls.values() if call.is_open]
 
     @property
-    def left_tokens(self) -> int:
+    def remaining_tokens(self) -> int:
         """Tokens not yet spent or reserved by open calls and sub-agents."""
         assert self.opened is not None
         reserved = sum(call.reserved_tokens for call in self.open_calls)
-        allocated = sum(child.tokens for child in self.parts.values())
+        allocated = sum(child.tokens for child in self.child_reservations.values())
         return self.opened.budget.tokens - self.spent_tokens - reserved - allocated
 
     @property
     def remaining_calls(self) -> int:
         """Calls not yet spent, open or reserved by sub-agents."""
         assert self.opened is not None
-        allocated = sum(child.calls for child in self.parts.values())
+        allocated = sum(child.calls for child in self.child_reservations.values())
         open_calls = len(self.open_calls)
         return self.opened.budget.calls - self.spent_calls - open_calls - allocated
 
@@ -175,7 +175,7 @@
     def used_tokens(self) -> int:
         """Tokens spent or reserved by open calls and sub-agents."""
         assert self.opened is not None
-        return self.opened.budget.tokens - self.left_tokens
+        return self.opened.budget.tokens - self.remaining_tokens
 
     @property
     def used_calls(self) -> int:
--- a/src/cedarchute/programs/adopter.py
+++ b/src/cedarchute/programs/program_resumer.py
@@ -9,21 +9,21 @@
 from cedarchute.operators.site_file import ServiceKind
 from cedarchute.problem import Problem
 from cedarchute.programs.call_run import CallRun
-from cedarchute.programs.dispatch import DispatchedCall
+from cedarchute.programs.dispatched_call import DispatchedCall
 from cedarchute.programs.records import CallFinished, TakenOver
 from cedarchute.verdict import Verdict
 
 if TYPE_CHECKING:
     from cedarchute.metrics import Metrics
-    from cedarchute.programs.call_entry import CallState
+    from cedarchute.programs.call_state import CallState
     from cedarchute.programs.dispatcher import Dispatcher
-    from cedarchute.programs.home import ProgramHome
     from cedarchute.programs.program import Program
+    from cedarchute.programs.program_registry import ProgramRegistry
 
 log = logging.getLogger("cedarchute.takeover")
 
 
-class Adopter:
+class ProgramResumer:
     """Records the takeover of a program and resolves its open calls.
 
     Parameters
@@ -35,7 +35,7 @@
     def __init__(
         self,
         box: str,
-        home: ProgramHome,
+        home: ProgramRegistry,
         dispatcher: Dispatcher,
         metrics: Metrics,
     ) -> None:
@@ -44,7 +44,7 @@
         self.dispatcher = dispatcher
         self.metrics = metrics
 
-    def adopt(self, program: Program) -> None:
+    def resume(self, program: Program) -> None:
         """Resume a program that this box has taken over.
 
         An open call that is not repeatable is not sent again: its caller gets the
@@ -55,7 +55,7 @@
             run = CallRun(call_state.key, call_state.digest, call_state.attempt)
             runs[call_state.key] = program.runs[call_state.key] = run
         try:
-            with program.order:
+            with program.turn_lock:
                 self.home.append_until_replicated(program, [TakenOver(owner=self.box)])
                 program.is_ready = True
                 for call_state in list(program.open_calls):
@@ -63,7 +63,7 @@
         except (Problem, PartitionMovedError) as error:
             log.info("Takeover of %s interrupted: %s.", program.id, error)
             for run in runs.values():
-                run.move()
+                run.mark_moved()
         finally:
             for key in runs:
                 program.runs.pop(key, None)
--- a/src/cedarchute/programs/reaper.py
+++ b/src/cedarchute/programs/reaper.py
@@ -9,12 +9,15 @@
 
 from cedarchute.copies.owned_partition import PartitionMovedError
 from cedarchute.problem import Problem
-from cedarchute.programs.pack_limits import PACK_AFTER_SECONDS, PACK_AT_ONCE
+from cedarchute.programs.compression_limits import (
+    COMPRESS_AFTER_IDLE_SECONDS,
+    MAX_COMPRESSED_CHARACTERS,
+)
 
 if TYPE_CHECKING:
     from cedarchute.clock import Clock
-    from cedarchute.programs.home import ProgramHome
     from cedarchute.programs.program import Program
+    from cedarchute.programs.program_registry import ProgramRegistry
     from cedarchute.settings.box_settings import ServingSection
 
 log = logging.getLogger("cedarchute.programs")
@@ -30,7 +33,7 @@
     """
 
     def __init__(
-        self, home: ProgramHome, settings: ServingSection, clock: Clock
+        self, home: ProgramRegistry, settings: ServingSection, clock: Clock
     ) -> None:
         self.home = home
         self.settings = settings
@@ -40,7 +43,7 @@
         """Check all programs once per interval and compress idle histories."""
         while True:
             eventlet.sleep(REAP_INTERVAL_SECONDS)
-            remaining = PACK_AT_ONCE
+            remaining = MAX_COMPRESSED_CHARACTERS
             for program in list(self.home.programs.values()):
                 self.reap(program)
                 if remaining > 0 and self.is_idle(program):
@@ -48,18 +51,18 @@
 
     def is_idle(self, program: Program) -> bool:
         """Return whether the history of a program may be compressed."""
-        idle_seconds = self.clock.monotonic() - program.touched_at
-        return not program.runs and idle_seconds > PACK_AFTER_SECONDS
+        idle_seconds = self.clock.monotonic() - program.last_active_at
+        return not program.runs and idle_seconds > COMPRESS_AFTER_IDLE_SECONDS
 
     def reap(self, program: Program) -> None:
         """End a program past its deadline or idle limit; remove an ended one."""
         assert program.opened is not None
         now = self.clock.wall()
-        idle_seconds = self.clock.monotonic() - program.touched_at
+        idle_seconds = self.clock.monotonic() - program.last_active_at
         if program.ended is not None:
             ended_seconds = now - program.ended.ended_at
             if (
-                not program.cached
+                not program.cached_tokens_by_target
                 and ended_seconds > self.settings.keep_answers_seconds
             ):
                 self.home.forget(program)
--- a/tests/programs/test_cache_sweeper.py
+++ b/tests/programs/test_cache_sweeper.py
@@ -20,7 +20,7 @@
     def __init__(self):
         self.requests = Counter()
 
-    def read_held(self, address):
+    def list_cached_programs(self, address):
         self.requests[str(address)] += 1
         return []
 
