--- a/src/cedarchute/programs/cache_migrator.py
+++ b/src/cedarchute/programs/cache_migrator.py
@@ -32,13 +32,13 @@
     def __init__(
         self,
         engines: EngineClient,
-        book: TargetDirectory,
+        directory: TargetDirectory,
         index: PrefixIndex,
         configuration: Configuration,
         metrics: Metrics,
     ) -> None:
         self.engines = engines
-        self.book = book
+        self.directory = directory
         self.index = index
         self.configuration = configuration
         self.metrics = metrics
@@ -64,7 +64,7 @@
             self.metrics.count("cache.move_failed")
             log.info("Cache migration of %s failed: %s.", program.id, error)
             # Keeps the next program from waiting for the same failing engine.
-            self.book.back_off(engine)
+            self.directory.back_off(engine)
             return
         self.metrics.count("cache.moved")
 
@@ -75,7 +75,7 @@
         best_source: TargetState | None = None
         most_tokens = 0
         for name, tokens in program.cached_tokens_by_target.items():
-            source = self.book.find(name)
+            source = self.directory.find(name)
             if source is None or source is target or source.failures:
                 continue
             if tokens > most_tokens:
--- a/src/cedarchute/programs/cache_releaser.py
+++ b/src/cedarchute/programs/cache_releaser.py
@@ -34,13 +34,13 @@
 
     def __init__(
         self,
-        home: ProgramRegistry,
-        book: TargetDirectory,
+        registry: ProgramRegistry,
+        directory: TargetDirectory,
         engines: EngineClient,
         metrics: Metrics,
     ) -> None:
-        self.home = home
-        self.book = book
+        self.registry = registry
+        self.directory = directory
         self.engines = engines
         self.metrics = metrics
 
@@ -53,11 +53,13 @@
         """Release a program on one target, retrying with exponential backoff."""
         backoff = INITIAL_BACKOFF_SECONDS
         while not program.partition.is_lost and name in program.cached_tokens_by_target:
-            target = self.book.find(name)
+            target = self.directory.find(name)
             try:
                 if target is not None:
                     self.engines.release(target.section.address, program.id)
-                self.home.append_until_replicated(program, [CacheReleased(target=name)])
+                self.registry.append_until_replicated(
+                    program, [CacheReleased(target=name)]
+                )
                 self.metrics.count("release.confirmed")
                 return
             except TargetError as error:
--- a/src/cedarchute/programs/cache_sweeper.py
+++ b/src/cedarchute/programs/cache_sweeper.py
@@ -51,7 +51,7 @@
     The ring assigns each engine of the accepted site file to one box, whether or not
     that box sends calls to it.
 
-    The sweep covers what `Releaser` misses: programs whose records were lost, and
+    The sweep covers what `CacheReleaser` misses: programs whose records were lost, and
     engines that processed a call after they had confirmed the release.
     """
 
@@ -59,7 +59,7 @@
         self,
         box: str,
         view: View,
-        home: ProgramRegistry,
+        registry: ProgramRegistry,
         configuration: Configuration,
         engines: EngineClient,
         peer_client: PeerClient,
@@ -69,7 +69,7 @@
     ) -> None:
         self.box = box
         self.view = view
-        self.home = home
+        self.registry = registry
         self.configuration = configuration
         self.engines = engines
         self.peer_client = peer_client
@@ -97,12 +97,12 @@
     def sweep(self, target: TargetSection) -> None:
         """Release the orphaned caches of one engine."""
         try:
-            held_programs = self.engines.list_cached_programs(target.address)
+            cached_programs = self.engines.list_cached_programs(target.address)
         except TargetError:
             return
         by_partition: dict[str, list[str]] = {}
         now = self.clock.wall()
-        for program in held_programs:
+        for program in cached_programs:
             if is_pinned_prefix_key(program):
                 if is_pinned_prefix_expired(program, now):
                     self.release(target, program)
@@ -152,12 +152,12 @@
 
     def handle_live_programs(self, request: LiveProgramsRequest) -> LiveProgramsReply:
         """Answer which of the programs are open on this box."""
-        partition = self.home.replicator.partitions.get(request.partition)
+        partition = self.registry.replicator.partitions.get(request.partition)
         if partition is None or partition.is_lost or partition.is_recovering:
             return LiveProgramsReply(known=False)
         open_programs = []
         for program_id in request.programs:
-            program = self.home.programs.get(program_id)
+            program = self.registry.programs.get(program_id)
             if program is not None and program.ended is None:
                 open_programs.append(program_id)
         return LiveProgramsReply(known=True, living=tuple(open_programs))
--- a/src/cedarchute/programs/call_runner.py
+++ b/src/cedarchute/programs/call_runner.py
@@ -41,14 +41,14 @@
 
     def __init__(
         self,
-        home: ProgramRegistry,
+        registry: ProgramRegistry,
         dispatcher: Dispatcher,
         limits: WorkspaceLimits,
         configuration: Configuration,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self.home = home
+        self.registry = registry
         self.dispatcher = dispatcher
         self.limits = limits
         self.configuration = configuration
@@ -77,7 +77,7 @@
                 )
             self.metrics.count("calls.answered_again")
             return known_run
-        self.home.check_open(program)
+        self.registry.check_open(program)
         self.check_turn(program, request)
         service = self.find_service(request)
         self.check_not_moving(program)
@@ -190,7 +190,7 @@
     ) -> CallFinished:
         """Record the intent, dispatch the call and record the outcome."""
         self.check_not_moving(program)
-        self.home.check_open(program)
+        self.registry.check_open(program)
         if run.is_cancelled:
             raise Problem("cancelled", "The call was cancelled.", status=409)
         if self.clock.wall() >= run.deadline:
@@ -202,7 +202,7 @@
         self.record_intent(program, intent)
         call = DispatchedCall(program, intent, program.calls[run.key], run)
         outcome = self.dispatcher.dispatch(call)
-        self.home.append_until_replicated(program, [outcome])
+        self.registry.append_until_replicated(program, [outcome])
         return outcome
 
     def record_intent(self, program: Program, intent: CallIntended) -> None:
@@ -213,10 +213,10 @@
         send it again.
         """
         if intent.service_kind is ServiceKind.PLAIN and intent.repeatable:
-            self.home.append_without_waiting(program, intent)
+            self.registry.append_without_waiting(program, intent)
             return
         try:
-            self.home.append(program, [intent])
+            self.registry.append(program, [intent])
         except Problem:
             eventlet.spawn_n(self.record_not_sent, program, intent)
             raise
@@ -281,7 +281,7 @@
         )
         try:
             with program.turn_lock:
-                self.home.append_until_replicated(program, [outcome])
+                self.registry.append_until_replicated(program, [outcome])
         except PartitionMovedError:
             return
 
--- a/src/cedarchute/programs/child_budgets.py
+++ b/src/cedarchute/programs/child_budgets.py
@@ -19,8 +19,8 @@
 class ChildBudgets:
     """Records reservations and refunds for sub-agents on their parents' logs."""
 
-    def __init__(self, home: ProgramRegistry, metrics: Metrics) -> None:
-        self.home = home
+    def __init__(self, registry: ProgramRegistry, metrics: Metrics) -> None:
+        self.registry = registry
         self.metrics = metrics
 
     def reserve(
@@ -46,7 +46,7 @@
                 f"{calls} asked for.",
                 status=403,
             )
-        self.home.append(
+        self.registry.append(
             parent, [BudgetReserved(child=child, tokens=tokens, calls=calls)]
         )
         return Budget(tokens=tokens, calls=calls, seconds=budget.seconds)
@@ -54,7 +54,7 @@
     def refund(self, program: Program) -> None:
         """Return the unused budget of a sub-agent to its parent."""
         assert program.opened is not None
-        parent = self.home.programs.get(program.opened.parent or "")
+        parent = self.registry.programs.get(program.opened.parent or "")
         if parent is None or program.id not in parent.child_reservations:
             return
         returned = BudgetReturned(
@@ -62,7 +62,7 @@
             spent_tokens=program.spent_tokens,
             spent_calls=program.spent_calls,
         )
-        self.home.append(parent, [returned])
+        self.registry.append(parent, [returned])
 
     def refund_missing_children(self, partition: OwnedPartition) -> None:
         """Refund the reservations of sub-agents that ended or were never opened.
@@ -70,15 +70,15 @@
         A box can fail between the records on the parent's and on the child's log; the
         box that takes over reconciles them.
         """
-        for program in list(self.home.programs.values()):
+        for program in list(self.registry.programs.values()):
             if program.partition is not partition:
                 continue
             for child_id in list(program.child_reservations):
-                child = self.home.programs.get(child_id)
+                child = self.registry.programs.get(child_id)
                 if child is None:
                     returned = BudgetReturned(
                         child=child_id, spent_tokens=0, spent_calls=0
                     )
-                    self.home.append_until_replicated(program, [returned])
+                    self.registry.append_until_replicated(program, [returned])
                 elif child.ended is not None:
                     self.refund(child)
--- a/src/cedarchute/programs/dispatcher.py
+++ b/src/cedarchute/programs/dispatcher.py
@@ -44,25 +44,25 @@
 
     def __init__(
         self,
-        book: TargetDirectory,
+        directory: TargetDirectory,
         chooser: TargetChooser,
         models: ModelCaller,
-        mover: CacheMigrator,
+        cache_migrator: CacheMigrator,
         service_client: ServiceClient,
         replicator: Replicator,
         append_records: Callable[[Program, Sequence[ProgramRecord]], None],
-        retry_allowance: RetryBudget,
+        retry_budget: RetryBudget,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self.book = book
+        self.directory = directory
         self.chooser = chooser
         self.model_caller = models
-        self.mover = mover
+        self.cache_migrator = cache_migrator
         self.service_client = service_client
         self.replicator = replicator
         self.append_records = append_records
-        self.retry_allowance = retry_allowance
+        self.retry_budget = retry_budget
         self.clock = clock
         self.metrics = metrics
 
@@ -88,7 +88,7 @@
         PartitionMovedError
             When another box owns the program now.
         """
-        self.retry_allowance.record_first_attempt()
+        self.retry_budget.record_first_attempt()
         excluded: set[str] = set()
         while True:
             try:
@@ -132,7 +132,7 @@
         )
         if target is None:
             return None
-        if not self.retry_allowance.take():
+        if not self.retry_budget.take():
             self.metrics.count_refusal("retry_allowance")
             return None
         return target
@@ -145,13 +145,13 @@
         TargetError
             When the engine did not confirm the cancellation.
         """
-        target_state = self.book.find(target)
+        target_state = self.directory.find(target)
         if target_state is not None:
             self.model_caller.engines.cancel(target_state.section.address, request_id)
 
     def attempt(self, call: DispatchedCall, *, is_resumed: bool) -> CallFinished:
         """Send the call once to its recorded target."""
-        target = self.book.find(call.state.target)
+        target = self.directory.find(call.state.target)
         if target is None:
             raise TargetError("target_unknown", call.state.target, Verdict.NOT_RUN)
         seconds = call.intent.deadline - self.clock.wall()
@@ -159,10 +159,10 @@
             raise TargetError("deadline", "no time left", Verdict.NOT_RUN)
         if not is_resumed:
             if call.intent.service_kind is ServiceKind.MODEL:
-                self.mover.migrate_if_worthwhile(call.program, target)
+                self.cache_migrator.migrate_if_worthwhile(call.program, target)
             self.confirm_owned(call)
         priority = self.chooser.priority_of(call.program)
-        self.book.on_request_sent(target, call.intent.input_tokens, priority)
+        self.directory.on_request_sent(target, call.intent.input_tokens, priority)
         try:
             if call.intent.service_kind is ServiceKind.MODEL:
                 outcome = self.model_caller.attempt(
@@ -171,12 +171,12 @@
             else:
                 outcome = self.attempt_plain(call, target, seconds)
         except TargetError as error:
-            self.book.on_request_failed(target, error.reason, priority)
+            self.directory.on_request_failed(target, error.reason, priority)
             raise
         except BaseException:
-            self.book.on_request_succeeded(target, priority)
+            self.directory.on_request_succeeded(target, priority)
             raise
-        self.book.on_request_succeeded(target, priority)
+        self.directory.on_request_succeeded(target, priority)
         return outcome
 
     def confirm_owned(self, call: DispatchedCall) -> None:
--- a/src/cedarchute/programs/model_caller.py
+++ b/src/cedarchute/programs/model_caller.py
@@ -32,14 +32,14 @@
         self,
         engines: EngineClient,
         prefix_index: PrefixIndex,
-        shared_holds: PrefixPinner,
+        prefix_pinner: PrefixPinner,
         configuration: Configuration,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self.engines = engines
         self.prefix_index = prefix_index
-        self.shared_holds = shared_holds
+        self.prefix_pinner = prefix_pinner
         self.configuration = configuration
         self.clock = clock
         self.metrics = metrics
@@ -72,7 +72,7 @@
                         address, self.make_request(call, priority), seconds
                     )
                 outcome = self.consume_stream(call, target, stream)
-                self.retain_shared_prefix(call, target)
+                self.pin_shared_prefix(call, target)
                 return outcome
             except TargetError as error:
                 is_resumable = error.reason in ("target_broke_off", "target_timeout")
@@ -115,15 +115,15 @@
             )
         raise TargetError("target_broke_off", "no end", Verdict.MAY_HAVE_RUN)
 
-    def retain_shared_prefix(self, call: DispatchedCall, target: TargetState) -> None:
-        """Retain the prompt prefix that other programs share, on the target."""
+    def pin_shared_prefix(self, call: DispatchedCall, target: TargetState) -> None:
+        """Pin the prompt prefix that other programs share, on the target."""
         site = self.configuration.site
         if site is None or not site.is_program_aware:
             return
         service = site.services.get(call.intent.service)
         if service is None:
             return
-        self.shared_holds.on_call_finished(
+        self.prefix_pinner.on_call_finished(
             target,
             service.model or "",
             call.program.prefixes,
--- a/src/cedarchute/programs/program.py
+++ b/src/cedarchute/programs/program.py
@@ -76,8 +76,8 @@
     ) -> Program:
         """Return the program whose records are in `log`."""
         program = cls(program_id, partition, log)
-        for index, held in enumerate(log.records):
-            program.apply(parse_record(held.text), index)
+        for index, log_record in enumerate(log.records):
+            program.apply(parse_record(log_record.text), index)
         return program
 
     def apply(self, record: ProgramRecord, index: int) -> None:
--- a/src/cedarchute/programs/program_resumer.py
+++ b/src/cedarchute/programs/program_resumer.py
@@ -35,12 +35,12 @@
     def __init__(
         self,
         box: str,
-        home: ProgramRegistry,
+        registry: ProgramRegistry,
         dispatcher: Dispatcher,
         metrics: Metrics,
     ) -> None:
         self.box = box
-        self.home = home
+        self.registry = registry
         self.dispatcher = dispatcher
         self.metrics = metrics
 
@@ -56,7 +56,9 @@
             runs[call_state.key] = program.runs[call_state.key] = run
         try:
             with program.turn_lock:
-                self.home.append_until_replicated(program, [TakenOver(owner=self.box)])
+                self.registry.append_until_replicated(
+                    program, [TakenOver(owner=self.box)]
+                )
                 program.is_ready = True
                 for call_state in list(program.open_calls):
                     self.resolve_open_call(program, call_state, runs[call_state.key])
@@ -68,7 +70,7 @@
             for key in runs:
                 program.runs.pop(key, None)
         if program.ended is not None:
-            for listener in self.home.ended_listeners:
+            for listener in self.registry.ended_listeners:
                 listener(program)
 
     def resolve_open_call(
@@ -94,5 +96,5 @@
             outcome = self.dispatcher.dispatch(
                 call, is_resumed=is_model, may_have_run=True
             )
-        self.home.append_until_replicated(program, [outcome])
+        self.registry.append_until_replicated(program, [outcome])
         run.finish(outcome)
--- a/src/cedarchute/programs/reaper.py
+++ b/src/cedarchute/programs/reaper.py
@@ -33,9 +33,9 @@
     """
 
     def __init__(
-        self, home: ProgramRegistry, settings: ServingSection, clock: Clock
+        self, registry: ProgramRegistry, settings: ServingSection, clock: Clock
     ) -> None:
-        self.home = home
+        self.registry = registry
         self.settings = settings
         self.clock = clock
 
@@ -44,7 +44,7 @@
         while True:
             eventlet.sleep(REAP_INTERVAL_SECONDS)
             remaining = MAX_COMPRESSED_CHARACTERS
-            for program in list(self.home.programs.values()):
+            for program in list(self.registry.programs.values()):
                 self.reap(program)
                 if remaining > 0 and self.is_idle(program):
                     remaining -= program.log.pack(remaining)
@@ -65,7 +65,7 @@
                 not program.cached_tokens_by_target
                 and ended_seconds > self.settings.keep_answers_seconds
             ):
-                self.home.forget(program)
+                self.registry.forget(program)
             return
         if program.is_ending or not program.is_ready:
             return
@@ -77,7 +77,7 @@
     def try_end(self, program: Program, reason: str) -> None:
         """End a program; a failure is retried at the next check."""
         try:
-            self.home.end(program, reason)
+            self.registry.end(program, reason)
         except (Problem, PartitionMovedError) as error:
             program.is_ending = False
             log.info("Program %s not ended yet: %s.", program.id, error)
--- a/src/cedarchute/programs/target_chooser.py
+++ b/src/cedarchute/programs/target_chooser.py
@@ -26,14 +26,14 @@
 
     def __init__(
         self,
-        book: TargetDirectory,
+        directory: TargetDirectory,
         get_policy: Callable[[], PlacementPolicy],
         configuration: Configuration,
         failure_domain: str,
         clock: Clock,
         random_source: random.Random,
     ) -> None:
-        self.book = book
+        self.directory = directory
         self.get_policy = get_policy
         self.configuration = configuration
         self.failure_domain = failure_domain
@@ -49,7 +49,7 @@
         excluded: set[str],
     ) -> TargetState | None:
         """Return the target for a call, or None if no target is usable."""
-        usable_targets = self.book.list_available(service, excluded)
+        usable_targets = self.directory.list_available(service, excluded)
         if not usable_targets:
             return None
         if messages and not program.prefixes:
@@ -70,7 +70,7 @@
         """Return the cached tokens by healthy target, draining ones included."""
         cached_tokens = {}
         for name, tokens in program.cached_tokens_by_target.items():
-            target = self.book.find(name)
+            target = self.directory.find(name)
             if target is not None and target.failures == 0:
                 cached_tokens[name] = tokens
         return cached_tokens
@@ -82,10 +82,10 @@
         if site is None or opened is None or not site.is_program_aware:
             return 0
         workspace = site.workspaces.get(program.workspace)
-        standing = PriorityInputs(
+        priority_inputs = PriorityInputs(
             opened_at=opened.root_opened_at,
             age_seconds=self.clock.wall() - opened.root_opened_at,
             attained_tokens=program.attained_tokens,
             weight=workspace.weight if workspace else 1.0,
         )
-        return compute_priority(site.site.order, standing)
+        return compute_priority(site.site.order, priority_inputs)
--- a/src/experiments/mutations.py
+++ b/src/experiments/mutations.py
@@ -35,8 +35,8 @@
     Mutation(
         "the intent stands on holders before the call goes out",
         "programs/call_runner.py",
-        "self.home.append(program, [intent])",
-        "self.home.append_without_waiting(program, intent)",
+        "self.registry.append(program, [intent])",
+        "self.registry.append_without_waiting(program, intent)",
         FUZZ,
     ),
     Mutation(
@@ -70,8 +70,8 @@
     Mutation(
         "the intent stands on holders before the call goes out",
         "programs/call_runner.py",
-        "self.home.append(program, [intent])",
-        "self.home.append_without_waiting(program, intent)",
+        "self.registry.append(program, [intent])",
+        "self.registry.append_without_waiting(program, intent)",
         WRITE_AHEAD,
     ),
     Mutation(
@@ -260,7 +260,7 @@
     Mutation(
         "what programs share outlives them",
         "programs/model_caller.py",
-        "                self.retain_shared_prefix(call, target)\n",
+        "                self.pin_shared_prefix(call, target)\n",
         "",
         SHARED,
     ),
@@ -274,7 +274,7 @@
     Mutation(
         "the cache of a leaving engine moves with the program",
         "programs/dispatcher.py",
-        "self.mover.migrate_if_worthwhile(call.program, target)",
+        "self.cache_migrator.migrate_if_worthwhile(call.program, target)",
         "pass",
         MOVES + "test_the_cache_of_a_leaving_engine_moves_with_the_program",
     ),
--- a/tests/programs/test_cache_migrator.py
+++ b/tests/programs/test_cache_migrator.py
@@ -40,7 +40,7 @@
     def __init__(self, import_speed=200_000.0, is_program_aware=True):
         clock = StillClock()
         self.metrics = Metrics()
-        self.book = TargetDirectory("box", "region", 20, clock, self.metrics)
+        self.directory = TargetDirectory("box", "region", 20, clock, self.metrics)
         for number in range(3):
             section = TargetSection(
                 service="s", address=f"127.0.0.1:{number + 1}", failure_domain="a"
@@ -52,20 +52,20 @@
                 import_tokens_per_second=import_speed,
             )
             state = TargetState(f"t{number}", section, report=report)
-            self.book.targets[state.name] = state
+            self.directory.targets[state.name] = state
         self.engines = FakeEngines()
         site = SimpleNamespace(is_program_aware=is_program_aware)
-        self.mover = CacheMigrator(
+        self.migrator = CacheMigrator(
             self.engines,
-            self.book,
+            self.directory,
             PrefixIndex(clock),
             SimpleNamespace(site=site),
             self.metrics,
         )
 
-    def prepare(self, cached, target):
+    def migrate_if_worthwhile(self, cached, target):
         program = SimpleNamespace(id="p", cached_tokens_by_target=cached, prefixes=())
-        self.mover.migrate_if_worthwhile(program, self.book.targets[target])
+        self.migrator.migrate_if_worthwhile(program, self.directory.targets[target])
 
 
 def test_the_cache_comes_from_where_most_of_it_is():
--- a/tests/programs/test_cache_sweeper.py
+++ b/tests/programs/test_cache_sweeper.py
@@ -15,7 +15,7 @@
 
 
 class FakeEngines:
-    """Counts the requests for held programs by engine address."""
+    """Counts the requests for cached programs by engine address."""
 
     def __init__(self):
         self.requests = Counter()
