--- a/src/cedarchute/calls/program_admission_controller.py
+++ b/src/cedarchute/calls/program_admission_controller.py
@@ -1,4 +1,4 @@
-"""Asks, before a call is booked, whether its program is let in."""
+"""Admission control for new programs."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 log = logging.getLogger("cedarchute.calls")
 
-# Programs that this box knows to have begun: about what it meets in a minute.
-MOST_KNOWN: Final = 4096
+# Admitted or running programs that this box remembers; the oldest are dropped first.
+MAX_ADMITTED_PROGRAMS: Final = 4096
 
 
 class ProgramAdmissionController:
-    """Keeps what decides on new programs, by service; programs under way pass."""
+    """Admits or rejects new programs under load; running programs always pass."""
 
     def __init__(
         self,
@@ -46,77 +46,85 @@
         self.quorum = quorum
         self.routes = routes
         self.metrics = metrics
-        self.meters: defaultdict[str, SlowdownMeter] = defaultdict(SlowdownMeter)
-        self.uses: defaultdict[str, DeadlineUsage] = defaultdict(DeadlineUsage)
-        self.known: OrderedDict[str, None] = OrderedDict()
+        self.slowdown_meters: defaultdict[str, SlowdownMeter] = defaultdict(
+            SlowdownMeter
+        )
+        self.deadline_usages: defaultdict[str, DeadlineUsage] = defaultdict(
+            DeadlineUsage
+        )
+        self.admitted_programs: OrderedDict[str, None] = OrderedDict()
 
     def check(self, call: Call, route: Route, service: str) -> None:
-        """Let a call pass.
+        """Return if the call is admitted.
 
         Raises
         ------
         CallRefusedError
-            When it would begin a program that is not let in; nothing ran.
+            When the call would start a program that is rejected; nothing ran.
         """
-        terms = call.program
+        context = call.program
         program = call.program_key
-        if terms.previous_turn or program in self.known:
+        if context.previous_turn or program in self.admitted_programs:
             return
-        slowdown = self.meters[service].measure_slowdown(time.monotonic())
-        waited = 0.0
+        slowdown = self.slowdown_meters[service].measure_slowdown(time.monotonic())
+        program_age = 0.0
         if slowdown >= MIN_SHEDDING_SLOWDOWN and program:
-            standing = self.read_standing(program)
-            if standing is None or standing.spent:
-                self.note_known(program)
+            usage = self.read_usage(program)
+            if usage is None or usage.spent:
+                self.remember_admitted(program)
                 return
-            waited = standing.age_seconds or 0.0
+            program_age = usage.age_seconds or 0.0
         inputs = AdmissionInputs(
             slowdown=slowdown,
-            typical_deadline_usage=self.uses[route.name].share,
-            lower_ranks=self.count_ranks_behind(call, route),
+            typical_deadline_usage=self.deadline_usages[route.name].share,
+            lower_ranks=self.count_lower_ranks(call, route),
             shedding_hash=compute_shedding_hash(program or call.id),
-            soft_deadline_seconds=terms.soft_deadline_seconds,
-            waited_seconds=waited,
+            soft_deadline_seconds=context.soft_deadline_seconds,
+            waited_seconds=program_age,
         )
         decision = decide_admission(inputs)
-        log_decision(terms.program, service, inputs, decision)
+        log_decision(context.program, service, inputs, decision)
         if decision.admitted:
-            self.note_known(program)
+            self.remember_admitted(program)
             return
         self.metrics.count_refusal("overload")
         raise CallRefusedError(503, "overload", decision.retry_after_seconds)
 
-    def read_standing(self, program: str) -> ProgramUsage | None:
-        """Return what holders know of a program, or None when they don't answer."""
+    def read_usage(self, program: str) -> ProgramUsage | None:
+        """Return the usage of a program, or None if its holders do not answer."""
         try:
             return self.quorum.read_usage(program)
         except NoQuorumError as error:
-            # Booking the call asks the same holders, and says so if they are away.
-            log.info("Holders don't tell of a program.", extra={"why": str(error)})
+            # Reserving the call's tokens asks the same holders and raises if they are
+            # unreachable.
+            log.info(
+                "Holders did not report the usage of a program.",
+                extra={"why": str(error)},
+            )
             return None
 
-    def note_end(
+    def record_turn_end(
         self, route: Route, service: str, used_seconds: float, left_seconds: float
     ) -> None:
-        """Take in the end of a turn, and how much of its program's time it left."""
+        """Record how much of its program's time a finished turn used and left."""
         now = time.monotonic()
-        slowdown = self.meters[service].measure_slowdown(now)
-        use = self.uses[route.name]
-        use.record_turn(now, slowdown, used_seconds, left_seconds)
+        slowdown = self.slowdown_meters[service].measure_slowdown(now)
+        deadline_usage = self.deadline_usages[route.name]
+        deadline_usage.record_turn(now, slowdown, used_seconds, left_seconds)
 
     def forget_target(self, target: str) -> None:
-        """Forget the pace of a target that is gone."""
-        for meter in self.meters.values():
+        """Drop the latency statistics of a removed target."""
+        for meter in self.slowdown_meters.values():
             meter.forget(target)
 
-    def count_ranks_behind(self, call: Call, route: Route) -> int:
-        """Return how many ranks of streams are less important than this call's.
+    def count_lower_ranks(self, call: Call, route: Route) -> int:
+        """Return the number of stream ranks that are less important than the call's.
 
-        A workspace's rank goes before that of a route.
+        Ranks compare by workspace first, then by route.
         """
         table = self.routes.table
         routes = table.routes if table else ()
-        route_ranks = {r.rank for r in routes if r.is_stream}
+        route_ranks = {entry.rank for entry in routes if entry.is_stream}
         caller_identity = call.caller_identity
         if (
             caller_identity is None
@@ -128,21 +136,21 @@
         workspaces = table.keys.ranks
         return len([1 for pair in product(workspaces, route_ranks) if pair > own])
 
-    def note_known(self, program: str) -> None:
-        """Remember a program that was let in."""
+    def remember_admitted(self, program: str) -> None:
+        """Let later calls of a program pass without a decision."""
         if not program:
             return
-        self.known[program] = None
-        if len(self.known) > MOST_KNOWN:
-            self.known.popitem(last=False)
+        self.admitted_programs[program] = None
+        if len(self.admitted_programs) > MAX_ADMITTED_PROGRAMS:
+            self.admitted_programs.popitem(last=False)
 
 
 def log_decision(
     program: str, service: str, inputs: AdmissionInputs, decision: AdmissionDecision
 ) -> None:
-    """Log whether a program is let in, and from what that was decided."""
+    """Log an admission decision and its inputs."""
     log.info(
-        "Program let in." if decision.admitted else "Program not let in.",
+        "Program admitted." if decision.admitted else "Program rejected.",
         extra={
             "program": program,
             "service": service,
--- a/src/cedarchute/scheduling/admission.py
+++ b/src/cedarchute/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Lets new programs in, or refuses them at once with a time to come back."""
+"""Admission control for new programs."""
 
 from __future__ import annotations
 
@@ -14,39 +14,38 @@
     from cedarchute.operators.configuration import Configuration
     from cedarchute.scheduling.target_directory import TargetDirectory
 
-LEAST_WAIT_SECONDS: Final = 0.4
-MOST_EXCESS: Final = 10.0
-SPREAD: Final = 1.0
+MIN_RETRY_AFTER_SECONDS: Final = 0.4
+MAX_EXCESS: Final = 10.0
+JITTER: Final = 1.0
 
 
 class AdmissionController:
-    """Refuses new programs while the engines' queues are long.
+    """Rejects new programs while the engines' queues are too long.
 
-    Programs under way are never refused for load: their history and cache are
-    paid for already, and finishing them is what brings the load down. So an
-    overload costs newcomers a wait and nobody what was done for them.
+    Programs that are already running are never rejected for load: their prompts
+    are computed and cached, and finishing them is what reduces the load.
     """
 
     def __init__(
         self,
-        book: TargetDirectory,
+        directory: TargetDirectory,
         configuration: Configuration,
         random_source: random.Random,
         metrics: Metrics,
     ) -> None:
-        self.book = book
+        self.directory = directory
         self.configuration = configuration
         self.random_source = random_source
         self.metrics = metrics
 
     def admit(self) -> None:
-        """Let one new program in.
+        """Admit one new program.
 
         Raises
         ------
         Problem
-            ``overloaded`` when the queue is longer than operators allow; the time
-            to come back grows with it and is spread by chance.
+            ``overloaded`` when the backlog exceeds ``admit_backlog``. The
+            Retry-After time grows with the excess and has random jitter.
         """
         site = self.configuration.site
         if site is None:
@@ -56,8 +55,8 @@
         if excess <= 0:
             return
         self.metrics.count_refusal("overloaded")
-        wait = LEAST_WAIT_SECONDS * (1.0 + min(excess, MOST_EXCESS))
-        wait *= 1.0 + self.random_source.uniform(0, SPREAD)
+        wait = MIN_RETRY_AFTER_SECONDS * (1.0 + min(excess, MAX_EXCESS))
+        wait *= 1.0 + self.random_source.uniform(0, JITTER)
         raise Problem(
             "overloaded",
             f"The engines have {backlog:.1f} requests waiting for each slot.",
@@ -66,11 +65,11 @@
         )
 
     def measure_backlog(self) -> float:
-        """Return how many requests wait for each slot of the known engines."""
+        """Return the number of waiting requests per slot, over all known engines."""
         waiting = slots = 0
-        for target in self.book.targets.values():
+        for target in self.directory.targets.values():
             if target.report is None or is_draining(target):
                 continue
             slots += target.report.max_running
-            waiting += max(0, target.queued - target.report.max_running)
+            waiting += max(0, target.outstanding_requests - target.report.max_running)
         return waiting / slots if slots else 0.0
--- a/src/cedarchute/scheduling/prefix_digests.py
+++ b/src/cedarchute/scheduling/prefix_digests.py
@@ -1,4 +1,4 @@
-"""Digests of the beginnings of a prompt, by which shared ones are recognised."""
+"""Digests of prompt prefixes, which identify prefixes shared between programs."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 CHUNK_CHARACTERS: Final = 256
 CHUNK_TOKENS: Final = CHUNK_CHARACTERS // 4
-MOST_CHUNKS: Final = 64
+MAX_CHUNKS: Final = 64
 DIGEST_BYTES: Final = 8
 
 
 def digest_prefixes(contents: Iterable[str]) -> tuple[bytes, ...]:
-    """Return a digest for each beginning of a prompt that ends with a whole chunk.
+    """Return the digest of each prefix of a prompt that ends at a chunk boundary.
 
-    Programs share a beginning as far as their digests agree, wherever in the first
-    messages it ends: a source text, a system prompt, a parent's history.
+    Two prompts share a prefix as far as their digests agree, whether it ends within
+    a message or not. Typical shared prefixes are system prompts, source texts and
+    the history of a parent program.
 
     Parameters
     ----------
@@ -28,18 +29,18 @@
     Returns
     -------
     tuple of bytes
-        At most `MOST_CHUNKS` digests, of 1, 2, 3, ... chunks.
+        At most `MAX_CHUNKS` digests, of the prefixes of 1, 2, 3, ... chunks.
     """
     digests = []
     state = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    rest = ""
+    remainder = ""
     for content in contents:
-        rest += content + "\n"
-        whole = len(rest) - len(rest) % CHUNK_CHARACTERS
-        for start in range(0, whole, CHUNK_CHARACTERS):
-            state.update(rest[start : start + CHUNK_CHARACTERS].encode())
+        remainder += content + "\n"
+        complete_length = len(remainder) - len(remainder) % CHUNK_CHARACTERS
+        for start in range(0, complete_length, CHUNK_CHARACTERS):
+            state.update(remainder[start : start + CHUNK_CHARACTERS].encode())
             digests.append(state.digest())
-            if len(digests) == MOST_CHUNKS:
+            if len(digests) == MAX_CHUNKS:
                 return tuple(digests)
-        rest = rest[whole:]
+        remainder = remainder[complete_length:]
     return tuple(digests)
--- a/src/cedarchute/scheduling/priority.py
+++ b/src/cedarchute/scheduling/priority.py
@@ -1,4 +1,4 @@
-"""The priority of a call, from what is known of its program."""
+"""Priority of a call, computed from the state of its program."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 LEVELS: Final = 8
 AGEING_SECONDS: Final = 20.0
 HEAD_START_SECONDS: Final = 2.0
-STEPS_A_SECOND: Final = 10
+PRIORITY_STEPS_PER_SECOND: Final = 10
 
 
 @dataclass(frozen=True)
 class PriorityInputs:
-    """What the order of programs depends on.
+    """Inputs to the priority of a program.
 
     Attributes
     ----------
     opened_at : float
-        Wall clock time at which the program opened, in seconds; for a sub-agent
-        that of the program at the root, so that nobody waits for a latecomer.
+        Wall clock time at which the program opened, in seconds. A sub-agent has
+        the time of its root program, so that it does not queue as a new one.
     age_seconds : float
-        Seconds since then.
+        Seconds since `opened_at`.
     attained_tokens : int
-        Tokens computed for the program so far.
+        Tokens computed for the program so far (attained service).
     weight : float
-        The weight of its workspace.
+        Weight of the workspace of the program.
     """
 
     opened_at: float
@@ -37,17 +37,17 @@
     weight: float
 
 
-def compute_priority(order: Order, standing: PriorityInputs) -> int:
+def compute_priority(order: Order, inputs: PriorityInputs) -> int:
     """Return the priority of a program's next call; lower goes first.
 
-    Oldest first makes a program wait in one queue once, instead of at the end of
-    a queue at each of its turns: that shortens the slowest programs. Least
-    attained service first shortens the short programs at the cost of long ones;
-    age lifts these again.
+    `Order.OLDEST` orders programs first come, first served, so that a program does
+    not queue again at the back for each call; this reduces the tail of completion
+    times. `Order.ATTAINED` is least attained service, which favours short programs;
+    ageing prevents starvation of the long ones.
     """
     if order is Order.OLDEST:
-        head_start = HEAD_START_SECONDS * (standing.weight - 1.0)
-        return int((standing.opened_at - head_start) * STEPS_A_SECOND)
-    weighed = standing.attained_tokens / standing.weight
-    level = min(LEVELS, int(weighed / LEVEL_TOKENS).bit_length())
-    return max(0, level - int(standing.age_seconds / AGEING_SECONDS))
+        head_start = HEAD_START_SECONDS * (inputs.weight - 1.0)
+        return int((inputs.opened_at - head_start) * PRIORITY_STEPS_PER_SECOND)
+    weighted_tokens = inputs.attained_tokens / inputs.weight
+    level = min(LEVELS, int(weighted_tokens / LEVEL_TOKENS).bit_length())
+    return max(0, level - int(inputs.age_seconds / AGEING_SECONDS))
--- a/src/cedarchute/scheduling/target_state.py
+++ b/src/cedarchute/scheduling/target_state.py
@@ -1,4 +1,4 @@
-"""What this box knows of one target."""
+"""Load and health of one target, as seen by this box."""
 
 from __future__ import annotations
 
@@ -9,27 +9,31 @@
     from cedarchute.operators.site_file import TargetSection
     from cedarchute.targets.load_report import LoadReport
 
-LEARNING_RATE: Final = 0.05
+SMOOTHING_FACTOR: Final = 0.05
 
 
 @dataclass
 class TargetState:
-    """A target, its last load report and what this box did since.
+    """A target, its last load report, and the requests of this box.
 
     Attributes
     ----------
     in_flight : int
-        Requests of this box that are at the target now.
+        Requests of this box that are running or queued at the target.
     in_flight_at_report : int
-        The same at the time of the last report.
-    sent_tokens_since : int
-        Input tokens that this box sent after the last report.
+        `in_flight` at the time of the last report.
+    tokens_sent_since_report : int
+        Input tokens that this box has sent since the last report.
     priorities : list of int
-        Those of the requests of this box that are at the target now.
-    answer_tokens : float
-        Mean length of the answers that this box had from it lately.
-    uncached_share : float
-        Share of the prompts' tokens that it had to compute lately.
+        Priorities of the requests in flight.
+    mean_answer_tokens : float or None
+        Moving average of the answer length; None before the first answer.
+    uncached_fraction : float
+        Moving average of the fraction of prompt tokens not found in the cache.
+    backoff_until : float
+        Monotonic time before which a failed target gets no request, in seconds.
+    probing : bool
+        Whether a probe request is in flight after a backoff.
     """
 
     name: str
@@ -38,30 +42,31 @@
     in_flight_at_report: int = 0
     report: LoadReport | None = None
     reported_at: float = 0.0
-    sent_tokens_since: int = 0
+    tokens_sent_since_report: int = 0
     failures: int = 0
-    failing_until: float = 0.0
+    backoff_until: float = 0.0
     probing: bool = False
     priorities: list[int] = field(default_factory=list)
-    answer_tokens: float | None = None
-    uncached_share: float = 1.0
+    mean_answer_tokens: float | None = None
+    uncached_fraction: float = 1.0
 
     @property
-    def queued(self) -> int:
-        """Requests at the target as far as this box can tell.
+    def outstanding_requests(self) -> int:
+        """Estimated number of requests at the target, running and queued.
 
-        Its own part is known exactly; only that of other boxes is as late as the
-        report.
+        The requests of this box are counted exactly, those of other boxes come
+        from the last report.
         """
         if self.report is None:
             return self.in_flight
         reported = self.report.running + self.report.waiting
         return self.in_flight + max(0, reported - self.in_flight_at_report)
 
-    def share_ahead(self, priority: int) -> float:
-        """Return which share of the target's requests goes before a priority.
+    def estimate_fraction_ahead(self, priority: int) -> float:
+        """Return the estimated fraction of requests that go before `priority`.
 
-        The requests of this box stand for those of the others, which it cannot see.
+        Extrapolates from the requests of this box; those of other boxes are not
+        visible to it.
         """
         if not self.priorities:
             return 0.5
@@ -71,22 +76,22 @@
     def record_completion(
         self, prompt_tokens: int, cached_tokens: int, answer_tokens: int
     ) -> None:
-        """Take the counts of a finished answer into the means."""
+        """Update the moving averages with a completed answer."""
         uncached = 1.0 - cached_tokens / prompt_tokens if prompt_tokens else 1.0
-        self.uncached_share += LEARNING_RATE * (uncached - self.uncached_share)
-        known = self.answer_tokens
-        if known is None:
-            self.answer_tokens = float(answer_tokens)
+        self.uncached_fraction += SMOOTHING_FACTOR * (uncached - self.uncached_fraction)
+        mean = self.mean_answer_tokens
+        if mean is None:
+            self.mean_answer_tokens = float(answer_tokens)
         else:
-            self.answer_tokens = known + LEARNING_RATE * (answer_tokens - known)
+            self.mean_answer_tokens = mean + SMOOTHING_FACTOR * (answer_tokens - mean)
 
-    def queued_tokens(self, now: float) -> float:
-        """Return the input tokens that the target has yet to compute.
+    def estimate_pending_tokens(self, now: float) -> float:
+        """Return the estimated number of input tokens that wait for prefill.
 
-        What was reported and what was sent since drains at the target's rate.
+        Reported tokens and tokens sent since then drain at the reported rate.
         """
         if self.report is None:
-            return float(self.sent_tokens_since)
+            return float(self.tokens_sent_since_report)
         drained = (now - self.reported_at) * self.report.prefill_tokens_per_second
-        known = self.report.waiting_tokens + self.sent_tokens_since
-        return max(0.0, known - drained)
+        pending = self.report.waiting_tokens + self.tokens_sent_since_report
+        return max(0.0, pending - drained)
--- a/tests/scheduling/test_priority.py
+++ b/tests/scheduling/test_priority.py
@@ -6,7 +6,7 @@
 from cedarchute.scheduling.priority import PriorityInputs, compute_priority
 
 
-def standing(**fields):
+def make_inputs(**fields):
     values = {
         "opened_at": 1000.0,
         "age_seconds": 0.0,
@@ -35,5 +35,5 @@
     ],
 )
 def test_what_goes_first(order, first, last):
-    before = compute_priority(order, standing(**first))
-    assert before < compute_priority(order, standing(**last))
+    before = compute_priority(order, make_inputs(**first))
+    assert before < compute_priority(order, make_inputs(**last))
