--- a/src/cedarchute/programs/dispatched_call.py
+++ b/src/cedarchute/programs/dispatched_call.py
@@ -1,4 +1,4 @@
-"""A call on its way to its target."""
+"""A call that is being dispatched to its target."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True)
 class DispatchedCall:
-    """A call on its way: its program, its intent, its state and its run."""
+    """The program, intent, state and run of a call that is being dispatched."""
 
     program: Program
     intent: CallIntended
-    entry: CallState
+    state: CallState
     run: CallRun
 
     @property
     def request_id(self) -> str:
-        """The id under which the target knows this attempt."""
-        return f"{self.program.id}:{self.intent.key}:{self.entry.attempt}"
+        """The ID that identifies the current attempt to the target."""
+        return f"{self.program.id}:{self.intent.key}:{self.state.attempt}"
 
     def read_messages(self) -> list[ChatMessage]:
-        """Return the program's history with the new messages of the call."""
+        """Return the program's history followed by the new messages of the call."""
         return [*self.program.read_history(), *self.intent.messages]
--- a/src/cedarchute/programs/dispatcher.py
+++ b/src/cedarchute/programs/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends a call to a target, tries again where that is allowed, and no more."""
+"""Dispatch of a call to targets, with retries."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 log = logging.getLogger("cedarchute.dispatch")
 
-STATUS_OF_REASON: Final = {
+STATUS_BY_REASON: Final = {
     "target_timeout": 504,
     "deadline": 504,
     "copies_unavailable": 503,
@@ -40,29 +40,29 @@
 
 
 class Dispatcher:
-    """Chooses targets and carries calls out, one attempt after the other."""
+    """Sends a call to a target and retries it elsewhere where that is safe."""
 
     def __init__(
         self,
-        book: TargetDirectory,
+        directory: TargetDirectory,
         chooser: TargetChooser,
         models: ModelCaller,
-        mover: CacheMigrator,
-        services: ServiceClient,
+        cache_migrator: CacheMigrator,
+        service_client: ServiceClient,
         replicator: Replicator,
-        append: Callable[[Program, Sequence[ProgramRecord]], None],
-        allowance: RetryBudget,
+        append_records: Callable[[Program, Sequence[ProgramRecord]], None],
+        retry_budget: RetryBudget,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self.book = book
+        self.directory = directory
         self.chooser = chooser
         self.model_caller = models
-        self.mover = mover
-        self.services = services
+        self.cache_migrator = cache_migrator
+        self.service_client = service_client
         self.replicator = replicator
-        self.append = append
-        self.allowance = allowance
+        self.append_records = append_records
+        self.retry_budget = retry_budget
         self.clock = clock
         self.metrics = metrics
 
@@ -73,21 +73,22 @@
         is_resumed: bool = False,
         may_have_run: bool = False,
     ) -> CallFinished:
-        """Carry a call out and return its outcome.
+        """Send a call until it has an outcome, and return that.
 
         Parameters
         ----------
         is_resumed : bool
-            Read an answer on that another box has asked for.
+            Resume a stream that the previous owner of the program started.
         may_have_run : bool
-            An earlier attempt may have run; no later one makes that ``not run``.
+            Whether an earlier attempt may have run; the verdict is then never
+            ``not run``.
 
         Raises
         ------
         PartitionMovedError
-            When another box orders the program's calls now.
+            When another box owns the program now.
         """
-        self.allowance.record_first_attempt()
+        self.retry_budget.record_first_attempt()
         excluded: set[str] = set()
         while True:
             try:
@@ -97,18 +98,18 @@
                 if error.verdict is not Verdict.NOT_RUN:
                     may_have_run = True
                 failure = self.describe_failure(call, error, may_have_run)
-                excluded.add(call.entry.target)
+                excluded.add(call.state.target)
                 target = self.choose_retry(call, error, excluded)
                 if target is None:
                     return failure
                 self.metrics.count_retry(error.reason)
             is_resumed = False
-            attempt = call.entry.attempt + 1
+            attempt = call.state.attempt + 1
             retargeted = CallRetargeted(
                 key=call.intent.key, target=target.name, attempt=attempt
             )
             try:
-                self.append(call.program, [retargeted])
+                self.append_records(call.program, [retargeted])
             except Problem:
                 return failure
             call.run.restart(attempt)
@@ -116,7 +117,7 @@
     def choose_retry(
         self, call: DispatchedCall, error: TargetError, excluded: set[str]
     ) -> TargetState | None:
-        """Return where to try again, or None when that is not allowed."""
+        """Return the target of the next attempt, or None if a retry is not allowed."""
         if error.verdict is not Verdict.NOT_RUN and not call.intent.repeatable:
             return None
         if call.run.is_cancelled or self.clock.wall() >= call.intent.deadline:
@@ -131,37 +132,37 @@
         )
         if target is None:
             return None
-        if not self.allowance.take():
+        if not self.retry_budget.take():
             self.metrics.count_refusal("retry_allowance")
             return None
         return target
 
     def cancel(self, target: str, request_id: str) -> None:
-        """Stop an answer that an engine generates.
+        """Cancel a request at the engine that processes it.
 
         Raises
         ------
         TargetError
-            When the engine did not confirm it.
+            When the engine did not confirm the cancellation.
         """
-        state = self.book.find(target)
-        if state is not None:
-            self.model_caller.engines.cancel(state.section.address, request_id)
+        target_state = self.directory.find(target)
+        if target_state is not None:
+            self.model_caller.engines.cancel(target_state.section.address, request_id)
 
     def attempt(self, call: DispatchedCall, *, is_resumed: bool) -> CallFinished:
-        """Carry out one attempt at the target that the records name."""
-        target = self.book.find(call.entry.target)
+        """Send the call once to its recorded target."""
+        target = self.directory.find(call.state.target)
         if target is None:
-            raise TargetError("target_unknown", call.entry.target, Verdict.NOT_RUN)
+            raise TargetError("target_unknown", call.state.target, Verdict.NOT_RUN)
         seconds = call.intent.deadline - self.clock.wall()
         if seconds <= 0 and not is_resumed:
             raise TargetError("deadline", "no time left", Verdict.NOT_RUN)
         if not is_resumed:
             if call.intent.service_kind is ServiceKind.MODEL:
-                self.mover.migrate_if_worthwhile(call.program, target)
+                self.cache_migrator.migrate_if_worthwhile(call.program, target)
             self.confirm_owned(call)
         priority = self.chooser.priority_of(call.program)
-        self.book.on_request_sent(target, call.intent.input_tokens, priority)
+        self.directory.on_request_sent(target, call.intent.input_tokens, priority)
         try:
             if call.intent.service_kind is ServiceKind.MODEL:
                 outcome = self.model_caller.attempt(
@@ -170,16 +171,16 @@
             else:
                 outcome = self.attempt_plain(call, target, seconds)
         except TargetError as error:
-            self.book.on_request_failed(target, error.reason, priority)
+            self.directory.on_request_failed(target, error.reason, priority)
             raise
         except BaseException:
-            self.book.on_request_succeeded(target, priority)
+            self.directory.on_request_succeeded(target, priority)
             raise
-        self.book.on_request_succeeded(target, priority)
+        self.directory.on_request_succeeded(target, priority)
         return outcome
 
     def confirm_owned(self, call: DispatchedCall) -> None:
-        """Make sure that nobody has taken the program over, then send at once."""
+        """Raise `TargetError` unless this box is confirmed to own the program."""
         try:
             self.replicator.confirm_owned(call.program.partition)
         except Problem as problem:
@@ -190,8 +191,8 @@
     def attempt_plain(
         self, call: DispatchedCall, target: TargetState, seconds: float
     ) -> CallFinished:
-        """Call a plain service or tool once."""
-        text = self.services.call(
+        """Send the call once to a plain service."""
+        response_text = self.service_client.call(
             target.section.address,
             f"{call.program.id}:{call.intent.key}",
             call.program.id,
@@ -199,22 +200,22 @@
             seconds,
         )
         return CallFinished(
-            key=call.intent.key, verdict=Verdict.RAN, status=200, text=text
+            key=call.intent.key, verdict=Verdict.RAN, status=200, text=response_text
         )
 
     def describe_failure(
         self, call: DispatchedCall, error: TargetError, may_have_run: bool
     ) -> CallFinished:
-        """Return the outcome of a call that is given up after `error`."""
+        """Return the outcome of a call that is not retried after `error`."""
         verdict = Verdict.MAY_HAVE_RUN if may_have_run else error.verdict
         tokens = 0 if verdict is Verdict.NOT_RUN else call.intent.reserved_tokens
         return CallFinished(
             key=call.intent.key,
             verdict=verdict,
-            status=STATUS_OF_REASON.get(error.reason, 502),
+            status=STATUS_BY_REASON.get(error.reason, 502),
             text=call.run.text,
             finish_reason="error",
             tokens=tokens,
             code=error.reason,
-            detail=f"{call.entry.target}: {error.detail}",
+            detail=f"{call.state.target}: {error.detail}",
         )
--- a/src/cedarchute/programs/model_caller.py
+++ b/src/cedarchute/programs/model_caller.py
@@ -1,4 +1,4 @@
-"""Generates answers on model engines, and reads on after a break."""
+"""Calls to model engines, with resumption of interrupted streams."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
     from cedarchute.scheduling.target_state import TargetState
     from cedarchute.targets.engine_client import EngineClient
 
-RESUME_ATTEMPTS: Final = 2
+MAX_RESUMES: Final = 2
 
 
 class ModelCaller:
-    """Carries one attempt of a call out on one engine."""
+    """Runs one attempt of a model call on one engine."""
 
     def __init__(
         self,
         engines: EngineClient,
         prefix_index: PrefixIndex,
-        shared_holds: PrefixPinner,
+        prefix_pinner: PrefixPinner,
         configuration: Configuration,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self.engines = engines
         self.prefix_index = prefix_index
-        self.shared_holds = shared_holds
+        self.prefix_pinner = prefix_pinner
         self.configuration = configuration
         self.clock = clock
         self.metrics = metrics
@@ -52,7 +52,13 @@
         is_resumed: bool,
         seconds: float,
     ) -> CallFinished:
-        """Generate an answer, reading on after a break as long as that works."""
+        """Generate an answer; resume its stream up to `MAX_RESUMES` times.
+
+        Raises
+        ------
+        TargetError
+            When the engine refuses the call or the stream cannot be resumed.
+        """
         address = target.section.address
         resumes = 0
         while True:
@@ -65,12 +71,12 @@
                     stream = self.engines.generate(
                         address, self.make_request(call, priority), seconds
                     )
-                outcome = self.follow(call, target, stream)
-                self.hold_shared(call, target)
+                outcome = self.consume_stream(call, target, stream)
+                self.pin_shared_prefix(call, target)
                 return outcome
             except TargetError as error:
-                is_broken = error.reason in ("target_broke_off", "target_timeout")
-                if not is_broken or resumes >= RESUME_ATTEMPTS:
+                is_resumable = error.reason in ("target_broke_off", "target_timeout")
+                if not is_resumable or resumes >= MAX_RESUMES:
                     raise
                 if self.clock.wall() >= call.intent.deadline:
                     raise
@@ -78,13 +84,13 @@
                 is_resumed = True
                 self.metrics.count_retry("stream_resumed")
 
-    def follow(
+    def consume_stream(
         self,
         call: DispatchedCall,
         target: TargetState,
         stream: Iterable[StreamChunk | StreamEnd],
     ) -> CallFinished:
-        """Pass the pieces of a stream on and return the outcome at its end."""
+        """Add the pieces of a stream to the run; return the outcome at its end."""
         for item in stream:
             if isinstance(item, StreamChunk):
                 call.program.partition.check_owned()
@@ -109,15 +115,15 @@
             )
         raise TargetError("target_broke_off", "no end", Verdict.MAY_HAVE_RUN)
 
-    def hold_shared(self, call: DispatchedCall, target: TargetState) -> None:
-        """Keep what the prompt shares with other programs at its target."""
+    def pin_shared_prefix(self, call: DispatchedCall, target: TargetState) -> None:
+        """Pin the prompt prefix that other programs share, on the target."""
         site = self.configuration.site
         if site is None or not site.is_program_aware:
             return
         service = site.services.get(call.intent.service)
         if service is None:
             return
-        self.shared_holds.on_call_finished(
+        self.prefix_pinner.on_call_finished(
             target,
             service.model or "",
             call.program.prefixes,
@@ -125,11 +131,11 @@
         )
 
     def make_request(self, call: DispatchedCall, priority: int) -> GenerateRequest:
-        """Return what the engine is asked for."""
+        """Return the request to the engine; add its prompt to the prefix index."""
         site = self.configuration.site
         assert site is not None
         program = call.program
-        self.prefix_index.record_prompt(program.prefixes, program.id, call.entry.target)
+        self.prefix_index.record_prompt(program.prefixes, program.id, call.state.target)
         return GenerateRequest(
             request_id=call.request_id,
             program=program.id,
