--- a/src/cedarchute/programs/reaper.py
+++ b/src/cedarchute/programs/reaper.py
@@ -9,7 +9,7 @@
 
 from cedarchute.copies.owned_partition import PartitionMovedError
 from cedarchute.problem import Problem
-from cedarchute.programs.compression_limits import (
+from cedarchute.programs.pack_limits import (
     COMPRESS_AFTER_IDLE_SECONDS,
     MAX_COMPRESSED_CHARACTERS,
 )
--- a/src/experiments/slope_data.py
+++ b/src/experiments/slope_data.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from cedarchute.programs.compression_limits import (
+from cedarchute.programs.pack_limits import (
     COMPRESS_AFTER_IDLE_SECONDS,
     MAX_COMPRESSED_CHARACTERS,
 )
