--- a/src/cedarchute/relay/__init__.py
+++ b/src/cedarchute/relay/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP as bytes: callers on one side, targets on the other, nothing altered."""
+"""HTTP/1.1 connections to callers and targets; message bytes are not altered."""
--- a/src/cedarchute/relay/answer_reader.py
+++ b/src/cedarchute/relay/answer_reader.py
@@ -1,4 +1,4 @@
-"""Cuts the bytes of a target's connection into answers."""
+"""Parses the byte stream of a target connection into responses."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 
 
 class AnswerReader:
-    """Collects answers in the order in which they come.
+    """Collects the responses of a connection in order of arrival.
 
-    More of them may come than requests went out; which one belongs to a request
-    is for the reader of `answers` to find out.
+    There may be more responses than requests; the consumer of `answers` matches them
+    to requests.
     """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.answers: deque[TargetAnswer] = deque()
-        self.open: TargetAnswer | None = None
+        self.current: TargetAnswer | None = None
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; raise ``httptools.HttpParserError`` for what is no answer."""
+        """Parse bytes; raise ``httptools.HttpParserError`` if they are malformed."""
         self.parser.feed_data(data)
 
-    def feed_end(self) -> bool:
-        """Take in an orderly close; return whether nothing is left unfinished."""
-        if self.open is None:
+    def feed_eof(self) -> bool:
+        """Handle an orderly close; return whether no response was cut short."""
+        if self.current is None:
             return True
-        if self.open.has_head and self.open.ends_with_connection:
+        if self.current.headers_complete and self.current.is_close_delimited:
             self.on_message_complete()
             return True
         return False
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
-        self.open = TargetAnswer()
-        self.answers.append(self.open)
+        """Start a new response."""
+        self.current = TargetAnswer()
+        self.answers.append(self.current)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header; trailers are dropped."""
-        if self.open is not None and not self.open.has_head:
-            self.open.fields.append((name, value))
+        """Store one header; trailers are dropped."""
+        if self.current is not None and not self.current.headers_complete:
+            self.current.fields.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Finish the head."""
-        answer = self.open
+        """Set the status, the headers and how the body is delimited."""
+        answer = self.current
         if answer is None:
             return
         answer.status = self.parser.get_status_code()
@@ -59,16 +59,16 @@
         has_length = answer.headers.get(b"content-length") is not None
         is_chunked = b"chunked" in answer.headers.list_tokens(b"transfer-encoding")
         has_body = answer.status not in BODILESS_STATUSES and not answer.is_interim
-        answer.ends_with_connection = has_body and not has_length and not is_chunked
-        answer.has_head = True
+        answer.is_close_delimited = has_body and not has_length and not is_chunked
+        answer.headers_complete = True
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
-        if self.open is not None:
-            self.open.parts.append(body)
+        """Store bytes of the body."""
+        if self.current is not None:
+            self.current.parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Finish the answer."""
-        if self.open is not None:
-            self.open.is_complete = True
-        self.open = None
+        """Mark the response as complete."""
+        if self.current is not None:
+            self.current.is_complete = True
+        self.current = None
--- a/src/cedarchute/relay/caller_connection.py
+++ b/src/cedarchute/relay/caller_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: a task that reads, and one that answers."""
+"""A caller connection: one task reads requests, another one responds."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 log = logging.getLogger("cedarchute.relay")
 
 READ_BYTES: Final = 65_536
-# A caller that takes nothing for this long is gone.
-WRITE_SECONDS: Final = 10.0
-# After a refusal of bad input, unread bytes would turn the close into a reset that
-# overtakes the answer: read them for a moment.
+# A caller that accepts no data for this long counts as disconnected.
+WRITE_TIMEOUT_SECONDS: Final = 10.0
+# After an error response, input is read for this long: closing a socket with unread
+# data sends a reset, which can discard the response.
 LINGER_SECONDS: Final = 0.5
 
 
 class CallerConnection:
-    """Answers the requests of one connection in their order.
+    """Responds to the requests of one connection in order.
 
-    The reader goes on while an answer is made, so that a caller who leaves is
-    noticed at once and what runs for it is stopped.
+    Reading continues while a request is handled, so that a disconnect is noticed at
+    once and the handler is stopped.
     """
 
     def __init__(self, sock: socket.socket, server: CallerServer) -> None:
         self.sock = sock
         self.server = server
         self.reader = RequestReader(server.limits())
-        # Requests in their order; bad input stands behind those that came before it.
+        # An error is queued behind the valid requests that were received before it.
         self.requests: LightQueue[CallerRequest | RequestError] = LightQueue()
         self.busy = False
         self.opened_at = time.monotonic()
         self.worker: eventlet.greenthread.GreenThread | None = None
 
     @property
-    def idle(self) -> bool:
-        """Whether nothing of a request has been read that is not answered."""
+    def is_idle(self) -> bool:
+        """Whether no request is being received, queued or handled."""
         return not self.busy and not self.reader.in_message and self.requests.empty()
 
     def run(self) -> None:
@@ -56,25 +56,31 @@
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.worker = eventlet.spawn(self.answer_forever)
         try:
-            self.read_to_end()
+            self.read_until_close()
         except OSError:
-            pass  # The caller is gone: nothing is owed to it any more.
+            pass  # The caller has disconnected.
         finally:
             self.worker.kill()
             self.close()
 
-    def read_to_end(self) -> None:
-        """Read until the caller closes, or sends what is no request."""
+    def read_until_close(self) -> None:
+        """Read until the caller closes the connection or sends an invalid request."""
         try:
-            self.read_forever()
+            self.read_requests()
         except RequestError as error:
-            self.server.count_refusal(error)
-            self.queue_ready()
+            self.server.record_bad_request(error)
+            self.enqueue_ready()
             self.requests.put(error)
             self.discard_input()
 
-    def read_forever(self) -> None:
-        """Read requests until the caller closes or stays silent too long."""
+    def read_requests(self) -> None:
+        """Read requests until the caller closes the connection or is idle too long.
+
+        Raises
+        ------
+        RequestError
+            When a request is invalid or incomplete at its deadline.
+        """
         header_deadline = None
         while True:
             limits = self.server.limits()
@@ -82,12 +88,12 @@
                 header_deadline = header_deadline or (
                     time.monotonic() + limits.header_seconds
                 )
-                wait = header_deadline - time.monotonic()
+                wait_seconds = header_deadline - time.monotonic()
             else:
                 header_deadline = None
-                wait = limits.idle_seconds
+                wait_seconds = limits.idle_seconds
             try:
-                data = self.receive(wait)
+                data = self.receive(wait_seconds)
             except TimeoutError:
                 if self.reader.in_message:
                     raise RequestError(408, "request not sent in time") from None
@@ -100,51 +106,51 @@
             if self.reader.expects_continue and self.reader.in_body:
                 self.reader.expects_continue = False
                 self.sock.sendall(CONTINUE)
-            self.queue_ready()
+            self.enqueue_ready()
 
-    def queue_ready(self) -> None:
-        """Hand the requests that were read whole to the answering task."""
+    def enqueue_ready(self) -> None:
+        """Queue the complete requests for the responding task."""
         while self.reader.ready:
             self.requests.put(self.reader.ready.popleft())
 
     def receive(self, seconds: float) -> bytes:
-        """Read what has come; raise ``TimeoutError`` after `seconds`.
+        """Return the next bytes; raise ``TimeoutError`` after `seconds`.
 
-        A timeout of the socket itself would bound the writes of the other task too.
+        A timeout on the socket would also apply to the writes of the other task.
         """
-        with eventlet.Timeout(max(0.001, seconds), TimeoutError("caller is silent")):
+        with eventlet.Timeout(max(0.001, seconds), TimeoutError("read timed out")):
             return self.sock.recv(READ_BYTES)
 
     def answer_forever(self) -> None:
-        """Answer one request after the other; bad input ends the connection."""
+        """Handle requests one by one; an invalid request ends the connection."""
         while True:
             request = self.requests.get()
             if isinstance(request, RequestError):
-                self.refuse(request)
+                self.send_error(request)
                 return
             self.busy = True
             try:
-                keep = self.answer(request)
+                keep_open = self.answer(request)
             except OSError:
-                keep = False
+                keep_open = False
             self.busy = False
-            if not keep:
-                self.shut()
+            if not keep_open:
+                self.shut_down()
                 return
 
     def answer(self, request: CallerRequest) -> bool:
-        """Answer one request; return whether the connection goes on."""
+        """Handle one request; return whether the connection stays open."""
         writer = ReplyWriter(request, self.send, self.server.must_close)
         self.server.handle(request, writer)
         return writer.finished and not writer.closes
 
     def send(self, data: bytes) -> None:
-        """Write bytes to the caller."""
-        with eventlet.Timeout(WRITE_SECONDS, TimeoutError("caller takes nothing")):
+        """Write bytes; raise ``TimeoutError`` if the caller does not accept them."""
+        with eventlet.Timeout(WRITE_TIMEOUT_SECONDS, TimeoutError("write timed out")):
             self.sock.sendall(data)
 
-    def refuse(self, error: RequestError) -> None:
-        """Answer bad input, and say that nothing more is sent."""
+    def send_error(self, error: RequestError) -> None:
+        """Send an error response and close the sending direction."""
         body = error.reason.encode() + b"\n"
         head = (
             b"HTTP/1.1 %d Refused\r\nContent-Type: text/plain\r\n"
@@ -154,36 +160,36 @@
             self.send(head % (error.status, len(body)) + body)
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            log.debug("A refused caller left before its answer.")
+            log.debug("Caller disconnected before its error response was sent.")
 
     def discard_input(self) -> None:
-        """Read what the caller still sends until all is answered, and a moment more.
+        """Discard input until the queued requests are handled, then linger briefly.
 
-        A caller who leaves meanwhile is noticed as ever.
+        Returns early if the caller disconnects.
         """
         while not self.worker.dead:
             with contextlib.suppress(TimeoutError):
                 if not self.receive(LINGER_SECONDS):
                     return
         deadline = time.monotonic() + LINGER_SECONDS
-        while (left := deadline - time.monotonic()) > 0:
-            if not self.receive(left):
+        while (remaining := deadline - time.monotonic()) > 0:
+            if not self.receive(remaining):
                 return
 
-    def shut(self) -> None:
-        """End the connection in both directions; the reading task notices."""
+    def shut_down(self) -> None:
+        """Shut down both directions; the reading task then ends."""
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            log.debug("A connection was closed already.")
+            log.debug("Connection was already closed.")
 
     def close(self) -> None:
-        """Release the socket."""
+        """Close the socket and drop the queued requests."""
         self.sock.close()
-        self.discard_queue()
+        self.discard_requests()
 
-    def discard_queue(self) -> None:
-        """Drop requests that were read behind one that ended the connection."""
+    def discard_requests(self) -> None:
+        """Drop the requests that were queued when the connection ended."""
         while True:
             try:
                 self.requests.get_nowait()
--- a/src/cedarchute/relay/caller_request.py
+++ b/src/cedarchute/relay/caller_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, whole."""
+"""A complete request from a caller."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class CallerRequest(Record):
-    """A request as it came in.
+    """A request as received.
 
     Attributes
     ----------
     target : bytes
-        Path and query, neither decoded nor normalised.
+        Path and query, neither decoded nor normalised (request target).
     read_at : float
-        When its last byte had been read, seconds of the monotonic clock.
+        Monotonic time at which its last byte was read.
     """
 
     method: bytes
@@ -30,10 +30,10 @@
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """The request target without its query."""
         return self.target.partition(b"?")[0]
 
     @property
     def host(self) -> str:
-        """The host asked for, without a port, in lower case."""
+        """The requested host in lower case, without a port."""
         return self.headers.get_text(b"host").partition(":")[0].lower()
--- a/src/cedarchute/relay/caller_server.py
+++ b/src/cedarchute/relay/caller_server.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of callers, and closes them at a planned stop."""
+"""Accepts caller connections and closes them in a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CallerServer:
-    """Every open connection of callers, and what they share."""
+    """Tracks the open caller connections and holds their shared settings."""
 
     def __init__(
         self,
@@ -40,20 +40,20 @@
         self.closing = False
 
     def serve_forever(self) -> None:
-        """Accept until the listener is closed."""
+        """Accept connections until the listener is closed."""
         while True:
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
                 if self.listener.fileno() < 0:
                     return
-                log.warning("A connection could not be accepted: %s", error)
+                log.warning("Failed to accept a connection: %s", error)
                 eventlet.sleep(0.01)
                 continue
             eventlet.spawn_n(self.serve, sock)
 
     def serve(self, sock: socket.socket) -> None:
-        """Serve one connection to its end."""
+        """Serve one connection until it is closed."""
         connection = CallerConnection(sock, self)
         self.connections.add(connection)
         try:
@@ -62,29 +62,32 @@
             self.connections.discard(connection)
 
     def must_close(self) -> bool:
-        """Tell whether connections close after their next answer."""
+        """Return whether connections are closed after their next response."""
         return self.closing
 
-    def count_refusal(self, error: RequestError) -> None:
-        """Count bad input."""
+    def record_bad_request(self, error: RequestError) -> None:
+        """Count and log an invalid request."""
         self.metrics.count_refusal(f"input_{error.status}")
-        log.info("Input refused.", extra={"status": error.status, "why": error.reason})
+        log.info(
+            "Rejected an invalid request.",
+            extra={"status": error.status, "why": error.reason},
+        )
 
     def begin_closing(self) -> None:
-        """From here on, every answer says that the connection closes."""
+        """Close each connection after its next response from now on."""
         self.closing = True
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the idle connections."""
         for connection in list(self.connections):
-            if connection.idle:
-                connection.shut()
+            if connection.is_idle:
+                connection.shut_down()
 
     def stop_accepting(self) -> None:
-        """Take no more connections."""
+        """Close the listener; open connections go on."""
         self.listener.close()
 
     @property
     def is_busy(self) -> bool:
-        """Whether any request is under way."""
-        return any(not connection.idle for connection in self.connections)
+        """Whether any request is in progress."""
+        return any(not connection.is_idle for connection in self.connections)
--- a/src/cedarchute/relay/event_splitter.py
+++ b/src/cedarchute/relay/event_splitter.py
@@ -1,46 +1,51 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 from __future__ import annotations
 
 from typing import Final
 
-DATA: Final = b"data"
+DATA_FIELD: Final = b"data"
 BLANK_LINES: Final = (b"\r\n\r\n", b"\n\n", b"\r\r")
 
 
 class EventSplitter:
-    """Hands out whole events as they came, and the data that each carries.
+    """Buffers bytes and returns complete events, byte for byte as received.
 
-    An event that its sender broke off halfway is never handed out.
+    An event that is cut short stays in the buffer.
+
+    Attributes
+    ----------
+    rest : bytes
+        The start of an event that is not complete yet.
     """
 
     def __init__(self) -> None:
         self.rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in bytes; return the events that are whole now, unaltered."""
+        """Add bytes to the buffer; return the events that are now complete."""
         self.rest += data
         events = []
-        while (end := self.find_end()) > 0:
+        while (end := self.find_event_end()) > 0:
             events.append(self.rest[:end])
             self.rest = self.rest[end:]
         return events
 
-    def find_end(self) -> int:
-        """Return where the first event ends, 0 when it is not whole yet."""
+    def find_event_end(self) -> int:
+        """Return the end offset of the first event, 0 if it is incomplete."""
         ends = [
-            at + len(blank)
-            for blank in BLANK_LINES
-            if (at := self.rest.find(blank)) >= 0
+            position + len(blank_line)
+            for blank_line in BLANK_LINES
+            if (position := self.rest.find(blank_line)) >= 0
         ]
         return min(ends, default=0)
 
 
 def read_data(event: bytes) -> bytes | None:
-    """Return what an event carries, its lines joined; None when it has no data."""
+    """Return the data lines of an event, joined; None if it has none."""
     lines = []
     for line in event.replace(b"\r\n", b"\n").replace(b"\r", b"\n").split(b"\n"):
         name, _, value = line.partition(b":")
-        if name == DATA:
+        if name == DATA_FIELD:
             lines.append(value.removeprefix(b" "))
     return b"\n".join(lines) if lines else None
--- a/src/cedarchute/relay/headers.py
+++ b/src/cedarchute/relay/headers.py
@@ -1,4 +1,4 @@
-"""Headers in the order and spelling in which they came."""
+"""HTTP headers that keep their order and the case of their names."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from cedarchute.record import Record
 
-# RFC 9110, section 7.6.1: these concern one connection and are not passed on.
+# Hop-by-hop headers (RFC 9110, section 7.6.1), which are not forwarded.
 HOP_BY_HOP: Final = frozenset(
     (
         b"connection",
@@ -20,46 +20,50 @@
         b"upgrade",
     )
 )
-# Lengths are written anew by whoever sends the message on.
-LENGTH: Final = b"content-length"
+# Not forwarded: the sender of a message sets its length.
+CONTENT_LENGTH: Final = b"content-length"
 
 
 class Headers(Record):
-    """The fields of one message, as pairs of name and value."""
+    """The header fields of one message, as pairs of name and value."""
 
     fields: tuple[tuple[bytes, bytes], ...] = ()
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first value under `name` (lower case), or None."""
-        for known, value in self.fields:
-            if known.lower() == name:
+        """Return the first value of `name` (in lower case), or None."""
+        for field_name, value in self.fields:
+            if field_name.lower() == name:
                 return value
         return None
 
     def get_all(self, name: bytes) -> list[bytes]:
-        """Return every value under `name` (lower case)."""
-        return [value for known, value in self.fields if known.lower() == name]
+        """Return all values of `name` (in lower case)."""
+        return [
+            value for field_name, value in self.fields if field_name.lower() == name
+        ]
 
     def get_text(self, name: bytes) -> str:
-        """Return the first value under `name` as text, empty when absent."""
+        """Return the first value of `name` decoded, or an empty string."""
         value = self.get(name)
         return "" if value is None else value.decode("latin-1")
 
     def list_tokens(self, name: bytes) -> set[bytes]:
-        """Return the comma-separated words under `name`, in lower case."""
-        words = b",".join(self.get_all(name)).split(b",")
-        return {word.strip().lower() for word in words if word.strip()}
+        """Return the comma-separated tokens of `name`, in lower case."""
+        tokens = b",".join(self.get_all(name)).split(b",")
+        return {token.strip().lower() for token in tokens if token.strip()}
 
     def select_end_to_end(self, dropped: frozenset[bytes] = frozenset()) -> Headers:
-        """Return the fields that are passed on: not those of one connection."""
-        skipped = HOP_BY_HOP | self.list_tokens(b"connection") | dropped | {LENGTH}
-        kept = (pair for pair in self.fields if pair[0].lower() not in skipped)
+        """Return the fields to forward: all but hop-by-hop and `dropped` ones."""
+        excluded = (
+            HOP_BY_HOP | self.list_tokens(b"connection") | dropped | {CONTENT_LENGTH}
+        )
+        kept = (pair for pair in self.fields if pair[0].lower() not in excluded)
         return Headers(tuple(kept))
 
     def extend(self, *pairs: tuple[bytes, bytes]) -> Headers:
-        """Return these fields with `pairs` behind them."""
+        """Return new headers with `pairs` appended."""
         return Headers(self.fields + pairs)
 
     def encode(self) -> bytes:
-        """Return the fields as they stand in a message, without the blank line."""
+        """Return the fields in wire format, without the final blank line."""
         return b"".join(b"%s: %s\r\n" % pair for pair in self.fields)
--- a/src/cedarchute/relay/input_limits.py
+++ b/src/cedarchute/relay/input_limits.py
@@ -1,4 +1,4 @@
-"""What a caller may send, and how long it may take."""
+"""Limits on the size and duration of a caller's input."""
 
 from __future__ import annotations
 
@@ -6,7 +6,15 @@
 
 
 class InputLimits(Record):
-    """Bounds on a caller's input; in force until a configuration says others."""
+    """Limits on a caller's input; the defaults apply without a configuration.
+
+    Attributes
+    ----------
+    header_seconds : float
+        How long the caller may take to send the headers of a request.
+    idle_seconds : float
+        How long an idle connection stays open, and the longest pause within a body.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
--- a/src/cedarchute/relay/reply_writer.py
+++ b/src/cedarchute/relay/reply_writer.py
@@ -1,4 +1,4 @@
-"""Writes the answer to one request of a caller."""
+"""Writes the response to a caller's request."""
 
 from __future__ import annotations
 
@@ -12,19 +12,28 @@
 
     from cedarchute.relay.caller_request import CallerRequest
 
-NO_BODY_STATUSES: Final = frozenset((204, 304))
+BODILESS_STATUSES: Final = frozenset((204, 304))
 CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class ReplyWriter:
-    """The one way an answer goes out; knows how much of it has gone.
+    """Writes a response, whole or as a chunked stream, and tracks its progress.
 
     Parameters
     ----------
     send : Callable
-        Writes bytes to the caller, raises ``OSError`` when it is gone.
+        Writes bytes to the caller; raises ``OSError`` if it has disconnected.
     must_close : Callable
-        Tells whether the connection closes after this answer.
+        Returns whether the connection is closed after this response.
+
+    Attributes
+    ----------
+    started : bool
+        Whether bytes may have been sent.
+    finished : bool
+        Whether the response was sent completely.
+    closes : bool
+        Whether the connection is closed after the response.
     """
 
     def __init__(
@@ -42,42 +51,42 @@
         self.status = 0
 
     def write_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write an answer whose body is all there."""
+        """Write a response with a complete body."""
         head = self.build_head(status, headers)
-        if status not in NO_BODY_STATUSES:
+        if status not in BODILESS_STATUSES:
             head += b"Content-Length: %d\r\n" % len(body)
-        if self.request.method == b"HEAD" or status in NO_BODY_STATUSES:
+        if self.request.method == b"HEAD" or status in BODILESS_STATUSES:
             body = b""
         self.started = True
         self.send(head + b"\r\n" + body)
         self.finished = True
 
     def start_stream(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer whose parts follow."""
+        """Write the status line and headers of a chunked response."""
         head = self.build_head(status, headers)
         self.started = True
         self.send(head + b"Transfer-Encoding: chunked\r\n\r\n")
 
     def write_part(self, part: bytes) -> None:
-        """Write a part of a stream; it goes out at once."""
+        """Write one chunk; skips an empty one, which would end the stream."""
         if part:
             self.send(b"%x\r\n%s\r\n" % (len(part), part))
 
     def end_stream(self, part: bytes = b"") -> None:
-        """Write the last part and the mark that the stream is whole."""
-        last = b"%x\r\n%s\r\n" % (len(part), part) if part else b""
-        self.send(last + b"0\r\n\r\n")
+        """Write `part`, if any, and the last chunk, which ends the stream."""
+        chunk = b"%x\r\n%s\r\n" % (len(part), part) if part else b""
+        self.send(chunk + b"0\r\n\r\n")
         self.finished = True
 
     def write_refusal(
         self, status: int, reason: str, headers: Headers | None = None
     ) -> None:
-        """Write an answer of our own: a status and one sentence."""
+        """Write an error response with `reason` as its plain-text body."""
         fields = (headers or Headers()).extend((b"Content-Type", b"text/plain"))
         self.write_whole(status, fields, reason.encode() + b"\n")
 
     def build_head(self, status: int, headers: Headers) -> bytes:
-        """Return status line and headers, with the notice of a close."""
+        """Return the status line and headers; adds ``Connection: close`` if due."""
         try:
             phrase = HTTPStatus(status).phrase.encode()
         except ValueError:
--- a/src/cedarchute/relay/request_error.py
+++ b/src/cedarchute/relay/request_error.py
@@ -1,10 +1,10 @@
-"""A request that cannot be taken, with the status that says so."""
+"""The error for invalid requests."""
 
 from __future__ import annotations
 
 
 class RequestError(Exception):
-    """Bad input from a caller; the connection is closed after the answer."""
+    """An invalid request; the connection is closed after the error response."""
 
     code = "bad_request"
 
--- a/src/cedarchute/relay/request_reader.py
+++ b/src/cedarchute/relay/request_reader.py
@@ -1,4 +1,4 @@
-"""Cuts the bytes of a caller's connection into requests."""
+"""Parses the byte stream of a caller connection into requests."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class RequestReader:
-    """Collects whole requests; strict about lengths, as the parser is.
+    """Collects complete requests and enforces size limits.
 
-    The parser refuses two lengths, a length beside chunks, folded lines and bare
-    line feeds, so no request can hide inside another.
+    The parser rejects duplicate lengths, a length together with chunked encoding,
+    folded headers and bare line feeds, which prevents request smuggling.
     """
 
     def __init__(self, limits: InputLimits) -> None:
@@ -30,10 +30,10 @@
         self.in_message = False
         self.in_body = False
         self.expects_continue = False
-        self.start()
+        self.reset()
 
-    def start(self) -> None:
-        """Forget the message that was read."""
+    def reset(self) -> None:
+        """Clear the state of the current message."""
         self.target = b""
         self.fields: list[tuple[bytes, bytes]] = []
         self.parts: list[bytes] = []
@@ -41,12 +41,12 @@
         self.body_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; whole requests are put into `ready`.
+        """Parse bytes; complete requests are appended to `ready`.
 
         Raises
         ------
         RequestError
-            When the bytes are no request, or one over the limits.
+            When a request is malformed or exceeds a limit.
         """
         try:
             self.parser.feed_data(data)
@@ -62,27 +62,27 @@
             self.check_header_bytes()
 
     def check_header_bytes(self) -> None:
-        """Refuse a head that is too large."""
+        """Raise `RequestError` if the headers are too large."""
         if self.header_bytes > self.limits.header_bytes:
             raise RequestError(431, "request head too large")
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
-        self.start()
+        """Start a new request."""
+        self.reset()
         self.in_message = True
         self.in_body = False
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header; trailers are dropped."""
+        """Store one header; trailers are dropped."""
         if not self.in_body:
             self.fields.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Check the headers and the announced body size."""
         size = len(self.target) + sum(len(n) + len(v) + 4 for n, v in self.fields)
         self.header_bytes = size
         self.check_header_bytes()
@@ -97,14 +97,14 @@
         self.expects_continue = expectation == "100-continue"
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Store bytes of the body; raise `RequestError` if it is too large."""
         self.body_bytes += len(body)
         if self.body_bytes > self.limits.body_bytes:
             raise RequestError(413, "request body too large")
         self.parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Put the request into `ready`."""
+        """Append the request to `ready`."""
         request = CallerRequest(
             method=self.parser.get_method(),
             target=self.target,
@@ -113,7 +113,7 @@
             keep_alive=self.parser.should_keep_alive(),
             read_at=time.monotonic(),
         )
-        self.start()
+        self.reset()
         self.in_message = False
         self.in_body = False
         self.expects_continue = False
--- a/src/cedarchute/relay/target_answer.py
+++ b/src/cedarchute/relay/target_answer.py
@@ -1,4 +1,4 @@
-"""The answer of a target, as it comes in."""
+"""A target's response while it is received."""
 
 from __future__ import annotations
 
@@ -12,31 +12,33 @@
 
 
 class TargetAnswer:
-    """One message on a target's connection; parts are taken as they come.
+    """A response whose body can be read while it is received.
 
     Attributes
     ----------
-    ends_with_connection : bool
-        Whether it has neither length nor chunks, so only an orderly close ends it.
+    is_close_delimited : bool
+        Whether only an orderly close ends the body: it has no length and no chunks.
+    parts : deque of bytes
+        Received body bytes that were not taken yet.
     """
 
     def __init__(self) -> None:
         self.status = 0
         self.headers: HeadersType = Headers()
-        self.has_head = False
+        self.headers_complete = False
         self.is_complete = False
         self.keep_alive = False
-        self.ends_with_connection = False
+        self.is_close_delimited = False
         self.parts: deque[bytes] = deque()
         self.fields: list[tuple[bytes, bytes]] = []
 
     @property
     def is_interim(self) -> bool:
-        """Whether this is a 1xx answer, which another one follows."""
+        """Whether this is an interim (1xx) response."""
         return 100 <= self.status < 200
 
     def take_parts(self) -> bytes:
-        """Return the bytes of the body that have come since the last call."""
+        """Return and remove the body bytes received since the last call."""
         joined = b"".join(self.parts)
         self.parts.clear()
         return joined
--- a/src/cedarchute/relay/target_connection.py
+++ b/src/cedarchute/relay/target_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a target; one request on it at a time."""
+"""A connection to a target that carries one request at a time."""
 
 from __future__ import annotations
 
@@ -19,27 +19,28 @@
     from cedarchute.relay.target_answer import TargetAnswer
 
 READ_BYTES: Final = 65_536
-# A target's own close of an idle connection crosses a request sent in the last
-# part of the time it named; the margin covers a slow link and its coarse clock.
-KEEP_MARGIN_SECONDS: Final = 0.5
-# When a target does not say how long it keeps an idle connection.
-KEEP_DEFAULT_SECONDS: Final = 4.0
+# Idle connections are given up this long before the target's keep-alive timeout, so
+# that a request does not race with the target's close; covers network delay and timers
+# of low resolution.
+KEEP_ALIVE_MARGIN_SECONDS: Final = 0.5
+# Keep-alive timeout of a target that sends none.
+DEFAULT_KEEP_ALIVE_SECONDS: Final = 4.0
 
 
 class TargetConnection:
-    """An open connection; raises `TargetFailureError` with a verdict."""
+    """An open connection; failures raise `TargetFailureError` with a verdict."""
 
     def __init__(self, address: Address, sock: socket.socket) -> None:
         self.address = address
         self.sock = sock
         self.reader = AnswerReader()
         self.idle_since = time.monotonic()
-        self.keep_seconds = KEEP_DEFAULT_SECONDS
+        self.keep_alive_seconds = DEFAULT_KEEP_ALIVE_SECONDS
         self.reusable = True
 
     @classmethod
     def open(cls, address: Address, seconds: float) -> TargetConnection:
-        """Connect within `seconds`."""
+        """Connect to `address` within `seconds`."""
         try:
             with eventlet.Timeout(seconds, TimeoutError("no connection in time")):
                 sock = socket.create_connection((address.host, address.port))
@@ -49,21 +50,21 @@
         return cls(address, sock)
 
     @property
-    def is_fresh(self) -> bool:
-        """Whether the connection can carry another request.
+    def is_available(self) -> bool:
+        """Whether the connection can be reused for another request.
 
-        Bytes that came while it was idle belong to no request, and a close that
-        came means the target is done with it: both show as readable.
+        An idle connection that is readable has received unsolicited bytes or a close
+        and cannot be reused.
         """
-        if not self.reusable or self.reader.answers or self.reader.open:
+        if not self.reusable or self.reader.answers or self.reader.current:
             return False
-        idle = time.monotonic() - self.idle_since
-        if idle > self.keep_seconds - KEEP_MARGIN_SECONDS:
+        idle_seconds = time.monotonic() - self.idle_since
+        if idle_seconds > self.keep_alive_seconds - KEEP_ALIVE_MARGIN_SECONDS:
             return False
         return not self.is_readable()
 
     def is_readable(self) -> bool:
-        """Whether bytes, a close or an error wait to be read."""
+        """Return whether bytes, a close or an error are pending on the socket."""
         try:
             self.sock.fd.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -73,7 +74,7 @@
         return True
 
     def send(self, data: bytes, seconds: float) -> None:
-        """Write a whole request; what was cut short may have run."""
+        """Send a complete request; after a failure it may have run."""
         try:
             with eventlet.Timeout(seconds, TimeoutError("request not taken in time")):
                 self.sock.sendall(data)
@@ -81,13 +82,12 @@
             raise TargetFailureError(f"send: {error}", Verdict.MAY_HAVE_RUN) from None
 
     def receive(self, seconds: float) -> None:
-        """Read what comes next into the reader.
+        """Pass the next bytes from the socket to the reader.
 
         Raises
         ------
         TargetFailureError
-            On silence, on a reset, on an early close and on bytes that are no
-            answer.
+            On a timeout, a reset, a premature close or a malformed response.
         """
         try:
             with eventlet.Timeout(max(0.0, seconds), TimeoutError("silent")):
@@ -96,7 +96,7 @@
             raise TargetFailureError(f"{error}", Verdict.MAY_HAVE_RUN) from None
         if not data:
             self.reusable = False
-            if self.reader.feed_end() and self.reader.answers:
+            if self.reader.feed_eof() and self.reader.answers:
                 return
             raise TargetFailureError("closed early", Verdict.MAY_HAVE_RUN)
         try:
@@ -104,54 +104,63 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.reusable = False
             if self.reader.answers and self.reader.answers[0].is_complete:
-                return  # The answer is whole; what spoils the connection is behind it.
+                return  # The malformed bytes follow a complete response.
             reason = f"garbled: {error}"
             raise TargetFailureError(reason, Verdict.MAY_HAVE_RUN) from None
 
-    def read_answer(self, request_id: bytes, name: bytes, until: float) -> TargetAnswer:
-        """Return the answer whose head carries `request_id` under `name`.
+    def read_answer(
+        self, request_id: bytes, header_name: bytes, deadline: float
+    ) -> TargetAnswer:
+        """Return the response to `request_id` once its headers are complete.
 
-        An answer with another id is the late one of an earlier request: it is
-        read to its end and dropped, and the connection is not used again.
+        A response with another id is a late one to an earlier request: it is read to
+        its end and discarded, and the connection is not reused.
+
+        Parameters
+        ----------
+        header_name : bytes
+            The header in which the target echoes the request id, in lower case.
+        deadline : float
+            Monotonic time at which `TargetFailureError` is raised.
         """
         while True:
-            answer = self.wait_head(until)
-            echoed = answer.headers.get(name)
+            answer = self.wait_for_headers(deadline)
+            echoed = answer.headers.get(header_name)
             if not answer.is_interim and echoed in (None, request_id):
                 return answer
             if not answer.is_interim:
                 self.reusable = False
             while not answer.is_complete:
-                self.receive(until - time.monotonic())
+                self.receive(deadline - time.monotonic())
             self.reader.answers.popleft()
 
-    def wait_head(self, until: float) -> TargetAnswer:
-        """Return the first answer that is not taken yet, once its head is whole."""
-        while not self.reader.answers or not self.reader.answers[0].has_head:
-            self.receive(until - time.monotonic())
+    def wait_for_headers(self, deadline: float) -> TargetAnswer:
+        """Return the first unread response once its headers are complete."""
+        while not self.reader.answers or not self.reader.answers[0].headers_complete:
+            self.receive(deadline - time.monotonic())
         return self.reader.answers[0]
 
     def finish(self, answer: TargetAnswer) -> None:
-        """Mark an answer that was read whole; the connection may be idle now."""
+        """Remove a response that was read completely; the connection is now idle."""
         self.reader.answers.popleft()
         self.idle_since = time.monotonic()
         if not answer.keep_alive or self.reader.answers:
             self.reusable = False
-        timeout = _read_keep_alive(answer.headers.get_text(b"keep-alive"))
+        timeout = _parse_keep_alive_timeout(answer.headers.get_text(b"keep-alive"))
         if timeout is not None:
-            self.keep_seconds = timeout
+            self.keep_alive_seconds = timeout
 
     def close(self) -> None:
-        """Close at once; a target that still works on the request drops it."""
+        """Close at once; this cancels a request that the target is processing."""
         self.reusable = False
         self.sock.close()
 
 
 def read_socket(sock: socket.socket) -> bytes:
-    """Return what comes next; a reset raises.
+    """Return the next bytes; raise ``OSError`` on a reset.
 
-    The green socket's own ``recv`` tells a reset as an orderly close, and an answer
-    that was cut would look whole.
+    ``recv`` of eventlet's socket reports a reset as an orderly close, which would make
+    a truncated response look complete.
     """
     raw = sock.fd
     while True:
@@ -161,10 +170,10 @@
             trampoline(raw, read=True)
 
 
-def _read_keep_alive(text: str) -> float | None:
-    """Return the seconds that a ``Keep-Alive`` header names, if any."""
-    for word in text.split(","):
-        key, _, value = word.strip().partition("=")
+def _parse_keep_alive_timeout(text: str) -> float | None:
+    """Return the timeout in seconds of a ``Keep-Alive`` header, if any."""
+    for parameter in text.split(","):
+        key, _, value = parameter.strip().partition("=")
         if key.lower() == "timeout" and value.isdigit():
             return float(value)
     return None
--- a/src/cedarchute/relay/target_failure.py
+++ b/src/cedarchute/relay/target_failure.py
@@ -1,4 +1,4 @@
-"""Why no whole answer came from a target."""
+"""The error for failed requests to targets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TargetFailureError(Exception):
-    """An exchange with a target failed; the verdict says whether it may have run."""
+    """No complete response; the verdict says whether the request may have run."""
 
     code = "target_failure"
 
--- a/src/cedarchute/relay/target_pool.py
+++ b/src/cedarchute/relay/target_pool.py
@@ -1,4 +1,4 @@
-"""Connections to targets that are kept for the next request."""
+"""A pool of idle connections to targets."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
     from cedarchute.address import Address
     from cedarchute.metrics import Metrics
 
-# A new connection to a target in the own region takes a few milliseconds; after
-# this long its address is dead or cut off, and another target is tried.
-CONNECT_SECONDS: Final = 0.4
+# Well above the time to connect within a region, so that another target is tried soon
+# if an address is unreachable.
+CONNECT_TIMEOUT_SECONDS: Final = 0.4
 
 
 class TargetPool:
-    """Idle connections by address; the one used last is used first."""
+    """Idle connections by address; the most recently used one is reused first."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
         self.idle: dict[Address, list[TargetConnection]] = {}
 
     def take(self, address: Address, seconds: float) -> TargetConnection:
-        """Return a connection that can carry a request."""
-        kept = self.idle.get(address, [])
-        while kept:
-            connection = kept.pop()
-            if connection.is_fresh:
+        """Return an idle connection, or open one within `seconds`."""
+        connections = self.idle.get(address, [])
+        while connections:
+            connection = connections.pop()
+            if connection.is_available:
                 return connection
             connection.close()
         self.metrics.count("targets.connections")
-        return TargetConnection.open(address, min(CONNECT_SECONDS, seconds))
+        return TargetConnection.open(address, min(CONNECT_TIMEOUT_SECONDS, seconds))
 
     def is_warm(self, address: Address) -> bool:
-        """Whether a connection to `address` is open and idle."""
-        kept = self.idle.get(address)
-        return bool(kept) and kept[-1].is_fresh
+        """Return whether an idle connection to `address` can be reused."""
+        connections = self.idle.get(address)
+        return bool(connections) and connections[-1].is_available
 
     def give_back(self, connection: TargetConnection) -> None:
-        """Keep a connection whose answer was read whole, or close it."""
-        if not connection.is_fresh:
+        """Return a connection to the pool, or close it if it cannot be reused."""
+        if not connection.is_available:
             connection.close()
             return
         self.idle.setdefault(connection.address, []).append(connection)
 
     def drop(self, address: Address) -> None:
-        """Close the idle connections to a target that is gone."""
+        """Close the idle connections to a target that was removed."""
         for connection in self.idle.pop(address, []):
             connection.close()
--- a/tests/relay/test_readers.py
+++ b/tests/relay/test_readers.py
@@ -25,8 +25,9 @@
 
 
 def split(data, cuts):
-    at = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
-    return [data[a:b] for a, b in zip(at, at[1:], strict=False)]
+    """Split `data` at the offsets `cuts`, each modulo its length plus one."""
+    bounds = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
+    return [data[a:b] for a, b in zip(bounds, bounds[1:], strict=False)]
 
 
 @settings(derandomize=True, deadline=None)
@@ -74,14 +75,14 @@
     reader = AnswerReader()
     reader.feed(b"HTTP/1.1 200 OK\r\nAttempt-Id: a\r\n\r\npart")
     assert not reader.answers[0].is_complete
-    assert reader.feed_end()
+    assert reader.feed_eof()
     assert reader.answers[0].is_complete
 
 
 def test_an_answer_with_a_length_is_not_ended_by_a_close():
     reader = AnswerReader()
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart")
-    assert not reader.feed_end()
+    assert not reader.feed_eof()
     assert not reader.answers[0].is_complete
 
 
