--- a/src/cedarchute/peers/__init__.py
+++ b/src/cedarchute/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between boxes and the client that sends them."""
+"""Messages between boxes, and their client and server."""
--- a/src/cedarchute/peers/heartbeat.py
+++ b/src/cedarchute/peers/heartbeat.py
@@ -1,4 +1,4 @@
-"""The heartbeat between boxes."""
+"""Messages between boxes on liveness and configuration."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Heartbeat(Message):
-    """A box tells that it lives and which revision is in force on it."""
+    """Reports that a box is alive and which configuration revision it uses."""
 
     box: BoxRecord
     revision: int
@@ -16,7 +16,7 @@
 
 
 class HeartbeatReply(Message):
-    """The other box's side; `newer` holds the file when the sender is behind."""
+    """The peer's record; `newer` is its configuration if the sender's is older."""
 
     box: BoxRecord
     revision: int
@@ -24,22 +24,22 @@
 
 
 class ConfigurationRequest(Message):
-    """Asks a box for the file in force on it."""
+    """Asks a box for its configuration if its revision is higher than `above`."""
 
     above: int
 
 
 class ConfigurationReply(Message):
-    """The file in force, if it is of a higher revision than asked."""
+    """The configuration in use, or None if its revision is not higher."""
 
     accepted: AcceptedFile | None
 
 
 class Suspicion(Message):
-    """Tells a holder that nothing listens at a box any more."""
+    """Reports to a holder that a box refuses connections."""
 
     identity: str
 
 
 class Acknowledged(Message):
-    """An answer with nothing to say."""
+    """An empty acknowledgement."""
--- a/src/cedarchute/peers/peer_app.py
+++ b/src/cedarchute/peers/peer_app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface between boxes; it also takes what callers' requests are."""
+"""The HTTP interface between boxes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,13 @@
 
 
 class PeerApp(WebApp):
-    """Messages between boxes, operators' requests, and requests passed on."""
+    """Serves messages of other boxes and operators' requests.
+
+    Parameters
+    ----------
+    fallback : Callable
+        WSGI application for all other paths: callers' requests that a box forwards.
+    """
 
     def __init__(
         self,
@@ -31,7 +37,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Serve one request as a WSGI application."""
         path = environ["PATH_INFO"]
         if path.startswith(("/peer/", "/operators/")):
             return super().__call__(environ, start_response)
@@ -40,7 +46,7 @@
     def add_message(
         self, name: str, model: type[Message], handler: Callable[[Any], Message]
     ) -> None:
-        """Give messages of `model` that come under `name` to `handler`."""
+        """Route messages posted to ``/peer/{name}``, parsed as `model`."""
 
         def on_request(request: Request) -> Response:
             return make_message_response(handler(self.read_message(request, model)))
--- a/src/cedarchute/peers/peer_client.py
+++ b/src/cedarchute/peers/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls between boxes: HTTP with JSON."""
+"""A client for the messages between boxes: JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -16,18 +16,22 @@
 
 MessageT = TypeVar("MessageT", bound=Message)
 
+# Paths whose bytes count as data in the metrics; others count as control.
 DATA_PATHS: Final = frozenset({"append", "read", "seal"})
-CONNECTIONS: Final = 16
-HOSTS: Final = 16
+MAX_CONNECTIONS_PER_HOST: Final = 16
+MAX_HOSTS: Final = 16
 JSON_HEADERS: Final = {"content-type": "application/json"}
 CLOSING_HEADERS: Final = {**JSON_HEADERS, "connection": "close"}
 
 
 class PeerError(Exception):
-    """A box that gave no usable answer.
+    """A request to another box failed.
 
-    `refused` is true when nothing listens on its port: the process is gone. A
-    paused process, or a cut link, times out instead.
+    Attributes
+    ----------
+    refused : bool
+        Whether the connection was refused, so that the process is not running. A
+        paused process or a network partition leads to a timeout instead.
     """
 
     code = "peer_unreachable"
@@ -38,45 +42,49 @@
 
 
 def is_refused(error: BaseException) -> bool:
-    """Return whether `error` says that nothing listened on the port."""
-    seen: BaseException | None = error
-    while seen is not None:
-        if isinstance(seen, ConnectionRefusedError):
+    """Return whether `error` was caused by a refused connection."""
+    cause: BaseException | None = error
+    while cause is not None:
+        if isinstance(cause, ConnectionRefusedError):
             return True
-        seen = getattr(seen, "reason", None) or seen.__cause__ or seen.__context__
+        cause = getattr(cause, "reason", None) or cause.__cause__ or cause.__context__
     return "Connection refused" in str(error)
 
 
 class PeerClient:
-    """Sends one message and reads one message."""
+    """Posts messages to other boxes and returns their replies."""
 
     def __init__(self, metrics: Metrics, timeout: float = 2.0) -> None:
         self.metrics = metrics
         self.timeout = timeout
-        self.pools = HostPools(CONNECTIONS, HOSTS)
+        self.pools = HostPools(MAX_CONNECTIONS_PER_HOST, MAX_HOSTS)
 
     def send(
         self,
         address: Address,
         path: str,
         message: Message,
-        reply: type[MessageT],
+        reply_type: type[MessageT],
         timeout: float | None = None,
         *,
         is_kept: bool = True,
     ) -> MessageT:
-        """Post `message` to the box at `address` and return its reply.
+        """Post `message` to the box at `address` and return its parsed reply.
 
         Parameters
         ----------
+        reply_type : type of Message
+            The model that the reply is validated against.
+        timeout : float, optional
+            Seconds; the client's timeout if None.
         is_kept : bool
-            Keep the connection for the next message. It costs both sides memory,
-            which does not pay for a box that is seldom asked.
+            Whether the connection is kept alive for the next message. It uses memory
+            on both sides, so messages to rarely contacted boxes close it.
 
         Raises
         ------
         PeerError
-            When the box did not answer, or not as expected.
+            When the box does not respond, or not as expected.
         """
         body = message.to_json().encode()
         try:
@@ -98,6 +106,6 @@
         if response.status != 200:
             raise PeerError(f"{address} {path}: status {response.status}")
         try:
-            return reply.model_validate_json(response.data)
+            return reply_type.model_validate_json(response.data)
         except ValidationError as error:
             raise PeerError(f"{address} {path}: {error}") from error
