--- a/src/cedarchute/membership/__init__.py
+++ b/src/cedarchute/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which boxes live, who owns what, and how that is found out."""
+"""Cluster membership: box records, leases, heartbeats and partition records."""
--- a/src/cedarchute/membership/box_record.py
+++ b/src/cedarchute/membership/box_record.py
@@ -1,4 +1,4 @@
-"""What a box tells the others about itself."""
+"""The membership record of a box."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class BoxState(StrEnum):
-    """Whether a box takes new callers."""
+    """Whether a box accepts new callers."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class BoxRecord(Message):
-    """One process of the daemon, as it stands in the store under a lease.
+    """One process of the daemon, stored under a lease.
 
-    `holder` names the storage of copies on the box: it changes with each start
-    of a box that keeps nothing, and stays with the data folder otherwise.
+    `holder` identifies the replica storage of the box. It is persistent if the box
+    has a data folder; otherwise it changes at each start.
     """
 
     name: Name
@@ -34,10 +34,10 @@
 
     @property
     def identity(self) -> str:
-        """The name and incarnation, which no other process ever has."""
+        """The name and incarnation; unique to this process."""
         return f"{self.name}.{self.incarnation}"
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the box is on its way out."""
+        """Whether the box is shutting down and takes no new callers."""
         return self.state is BoxState.LEAVING
--- a/src/cedarchute/membership/box_ring.py
+++ b/src/cedarchute/membership/box_ring.py
@@ -1,4 +1,4 @@
-"""Deals things out to boxes, alike on every box and without a word."""
+"""Consistent hashing of keys to boxes."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 
 
 class BoxRing:
-    """Boxes in the order of a digest of their names; each has what comes before it.
+    """A hash ring of boxes; a key belongs to the first box at or after its hash.
 
-    A box that joins or leaves changes the share of one other box only.
+    Every box computes the same owners without coordination. When a box joins or
+    leaves, keys move between it and one other box only.
     """
 
     def __init__(self, names: Iterable[str]) -> None:
-        placed = sorted((rank("ring", name), name) for name in names)
-        self.places = [place for place, _ in placed]
-        self.names = tuple(name for _, name in placed)
+        sorted_boxes = sorted((rank("ring", name), name) for name in names)
+        self.positions = [position for position, _ in sorted_boxes]
+        self.names = tuple(name for _, name in sorted_boxes)
 
-    def find_owner(self, thing: str) -> str | None:
-        """Return the box that looks after a thing; None when there is no box."""
+    def find_owner(self, key: str) -> str | None:
+        """Return the name of the box that owns `key`; None if the ring is empty."""
         if not self.names:
             return None
-        position = bisect_left(self.places, rank("thing", thing))
+        position = bisect_left(self.positions, rank("thing", key))
         return self.names[position % len(self.names)]
--- a/src/cedarchute/membership/heartbeats.py
+++ b/src/cedarchute/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to a few peers: liveness, and configuration while the store is down."""
+"""Heartbeats between boxes: failure detection and spread of the configuration."""
 
 from __future__ import annotations
 
@@ -30,11 +30,12 @@
 
 
 class Heartbeats:
-    """Beats to the next box on a ring, and to a few boxes chosen by chance.
+    """Sends heartbeats to the successor on a ring and to a few random boxes.
 
-    The ring gives each box one that notices when its process is gone. The chosen
-    ones pass a new configuration to all boxes in a logarithmic number of beats,
-    so the cost of a box does not grow with the fleet.
+    The ring gives each box one monitor that detects the end of its process. The
+    random heartbeats spread a new configuration by gossip, also while the store is
+    unavailable: it reaches all boxes in a logarithmic number of rounds, and the
+    cost per box does not depend on the number of boxes.
     """
 
     def __init__(
@@ -43,8 +44,8 @@
         keeper: LeaseKeeper,
         configuration: Configuration,
         client: PeerClient,
-        seconds: float,
-        peers: int,
+        interval_seconds: float,
+        peer_count: int,
         random_source: random.Random,
         on_refused: Callable[[BoxRecord], None],
     ) -> None:
@@ -52,48 +53,53 @@
         self.keeper = keeper
         self.configuration = configuration
         self.client = client
-        self.seconds = seconds
-        self.peers = peers
+        self.interval_seconds = interval_seconds
+        self.peer_count = peer_count
         self.random_source = random_source
         self.on_refused = on_refused
 
     def beat_forever(self) -> None:
-        """Beat once in each period."""
+        """Send heartbeats at each interval, with jitter."""
         while True:
             successor = self.find_successor()
             if successor is not None:
-                eventlet.spawn_n(self.beat, successor)
-            for peer in self.choose_others(successor):
-                eventlet.spawn_n(self.beat, peer, is_kept=False)
-            eventlet.sleep(self.seconds * self.random_source.uniform(0.9, 1.1))
+                eventlet.spawn_n(self.send_heartbeat, successor)
+            for peer in self.choose_random_peers(successor):
+                eventlet.spawn_n(self.send_heartbeat, peer, keep_alive=False)
+            eventlet.sleep(self.interval_seconds * self.random_source.uniform(0.9, 1.1))
 
     def find_successor(self) -> BoxRecord | None:
         """Return the next box on the ring of this region, if there is one.
 
-        A region that is cut off from the others notices its own dead boxes.
+        The ring stays within the region, so that a region detects its failed boxes
+        while it is partitioned from the others.
         """
-        me = self.keeper.record
-        near = [box for box in self.others if box.region == me.region]
-        if not near:
+        own_record = self.keeper.record
+        region_boxes = [
+            box for box in self.other_boxes if box.region == own_record.region
+        ]
+        if not region_boxes:
             return None
-        ring = sorted([*near, me], key=lambda box: rank("ring", box.name))
-        position = next(n for n, box in enumerate(ring) if box.name == me.name)
+        ring = sorted(
+            [*region_boxes, own_record], key=lambda box: rank("ring", box.name)
+        )
+        position = next(n for n, box in enumerate(ring) if box.name == own_record.name)
         return ring[(position + 1) % len(ring)]
 
-    def choose_others(self, successor: BoxRecord | None) -> list[BoxRecord]:
-        """Return some boxes of any region by chance."""
-        rest = [box for box in self.others if box is not successor]
-        count = min(len(rest), self.peers - 1)
-        return self.random_source.sample(rest, count)
+    def choose_random_peers(self, successor: BoxRecord | None) -> list[BoxRecord]:
+        """Return random boxes of any region, without `successor`."""
+        candidates = [box for box in self.other_boxes if box is not successor]
+        count = min(len(candidates), self.peer_count - 1)
+        return self.random_source.sample(candidates, count)
 
     @property
-    def others(self) -> list[BoxRecord]:
-        """Every other box that is not proved gone."""
+    def other_boxes(self) -> list[BoxRecord]:
+        """Every known box except this one."""
         name = self.keeper.record.name
-        return [box for box in self.view.all_boxes if box.name != name]
+        return [box for box in self.view.known_boxes if box.name != name]
 
-    def beat(self, peer: BoxRecord, *, is_kept: bool = True) -> None:
-        """Exchange one heartbeat with `peer`."""
+    def send_heartbeat(self, peer: BoxRecord, *, keep_alive: bool = True) -> None:
+        """Exchange one heartbeat with `peer`; keep its connection if `keep_alive`."""
         accepted = self.configuration.accepted
         message = Heartbeat(
             box=self.keeper.record,
@@ -106,7 +112,7 @@
                 "heartbeat",
                 message,
                 HeartbeatReply,
-                is_kept=is_kept,
+                is_kept=keep_alive,
             )
         except PeerError as error:
             if error.refused:
@@ -119,8 +125,11 @@
             self.configuration.offer(reply.newer, f"heartbeat with {peer.name}")
 
     def on_heartbeat(self, message: Heartbeat) -> HeartbeatReply:
-        """Answer a heartbeat; pass on a newer configuration or fetch it."""
-        self.on_box(message.box)
+        """Respond to a heartbeat with a newer configuration, if this box has one.
+
+        If the sender has the newer one, it is fetched in the background.
+        """
+        self.apply_record(message.box)
         self.view.on_heard(message.box.identity)
         accepted = self.configuration.accepted
         newer = None
@@ -132,14 +141,14 @@
             box=self.keeper.record, revision=self.configuration.revision, newer=newer
         )
 
-    def on_box(self, record: BoxRecord) -> None:
-        """Take in what a box says of itself, which is newer than the store."""
+    def apply_record(self, record: BoxRecord) -> None:
+        """Store a record received from the box itself, ahead of the store watch."""
         known = self.view.boxes.get(record.name)
         if known != record and record.name != self.keeper.record.name:
             self.view.put_box(record)
 
     def fetch(self, peer: BoxRecord) -> None:
-        """Ask `peer` for its newer configuration."""
+        """Fetch the configuration from `peer` if its revision is higher."""
         request = ConfigurationRequest(above=self.configuration.revision)
         try:
             reply = self.client.send(
@@ -151,7 +160,7 @@
             self.configuration.offer(reply.accepted, f"box {peer.name}")
 
     def on_configuration(self, message: ConfigurationRequest) -> ConfigurationReply:
-        """Answer a request for the file in force."""
+        """Return the accepted configuration if it is newer than requested."""
         accepted = self.configuration.accepted
         if accepted is None or accepted.revision <= message.above:
             return ConfigurationReply(accepted=None)
--- a/src/cedarchute/membership/incarnation.py
+++ b/src/cedarchute/membership/incarnation.py
@@ -1,4 +1,4 @@
-"""Gives each start of the daemon a number that is never used again."""
+"""Unique, increasing incarnation numbers for the starts of a box."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
 
 
 def take_incarnation(store: StoreClient, key: str, clock: Clock) -> int:
-    """Return a number higher than every one that the box has had.
+    """Return a number higher than all earlier incarnations of the box.
 
-    The number is at least the wall clock in seconds, so that it also goes up when
-    the store was restored to an older state. A box that starts while the store is
-    down waits: without a number it cannot mint ids that nobody else has.
+    Blocks while the store is unavailable, because the ids that the box creates are
+    unique only with a new incarnation. The number is at least the wall clock in
+    seconds, so that it increases even if the store was restored from a backup.
     """
-    waited = False
+    has_logged = False
     while True:
         try:
             incarnation = try_incarnation(store, key, clock)
             if incarnation is not None:
                 return incarnation
         except StoreUnavailableError as error:
-            if not waited:
+            if not has_logged:
                 log.warning("Store unavailable, waiting to start: %s", error)
-            waited = True
+            has_logged = True
             eventlet.sleep(RETRY_SECONDS)
 
 
 def try_incarnation(store: StoreClient, key: str, clock: Clock) -> int | None:
-    """Return a new number, or None when another process took one meanwhile.
+    """Return a new number, or None if a concurrent write to `key` won.
 
     Raises
     ------
     StoreUnavailableError
-        When the store does not answer; a number may be left unused.
+        If the store does not respond; a number may be left unused.
     """
     entry = store.get(key)
     last = int(json.loads(entry.value)["incarnation"]) if entry else 0
--- a/src/cedarchute/membership/lease_keeper.py
+++ b/src/cedarchute/membership/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the record of this box in the store, under a lease."""
+"""Registration of this box in the store, under a lease."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 
 
 class ReplacedError(Exception):
-    """A later incarnation of this box has started; this process must stop."""
+    """A later incarnation of this box has registered; this process must stop."""
 
     code = "replaced"
 
 
 class LeaseKeeper:
-    """Renews the lease three times in its length and puts the record back.
+    """Publishes the record of this box and renews its lease.
 
-    Nothing here decides that the box is gone: a lease that could not be renewed
-    is simply taken again, and epochs keep a box that was replaced from acting.
+    The lease is renewed at a third of its duration. If it is lost, the box registers
+    again under a new one: a lost lease does not mean that the box has failed, and
+    epochs fence off a box whose programs have another owner.
     """
 
     def __init__(
@@ -50,23 +51,23 @@
         self.seconds = seconds
         self.clock = clock
         self.metrics = metrics
-        self.lease = 0
+        self.lease_id = 0
         self.version = 0
         self.store_seen_at = clock.monotonic()
 
     def register(self) -> None:
-        """Take a lease and write the record under it.
+        """Acquire a lease and write the record under it.
 
         Raises
         ------
         ReplacedError
-            When a later incarnation stands in the store.
+            If the store has a record of a later incarnation.
         """
-        self.lease = self.store.grant_lease(self.seconds)
-        self.write()
+        self.lease_id = self.store.grant_lease(self.seconds)
+        self.write_record()
 
-    def write(self) -> None:
-        """Write the record as it is now."""
+    def write_record(self) -> None:
+        """Write the current record by compare-and-swap, retrying on conflicts."""
         key = self.keys.box(self.record.name)
         while True:
             entry = self.store.get(key)
@@ -76,43 +77,43 @@
                     raise ReplacedError(f"replaced by {other.identity}")
             version = entry.version if entry else 0
             value = self.record.to_json()
-            if self.store.swap(key, value, version, self.lease).won:
+            if self.store.swap(key, value, version, self.lease_id).won:
                 self.store_seen_at = self.clock.monotonic()
                 self.view.put_box(self.record)
                 return
 
     def leave(self) -> None:
-        """Tell everyone that this box takes no new callers."""
+        """Announce that this box accepts no new callers."""
         self.record = self.record.model_copy(update={"state": BoxState.LEAVING})
         self.view.put_box(self.record)
         try:
-            self.write()
+            self.write_record()
         except (StoreUnavailableError, LeaseGoneError):
-            log.warning("Store unavailable, leaving is told by heartbeats only.")
+            log.warning("Leaving state not stored; only heartbeats announce it.")
 
     def end(self) -> None:
-        """Give the lease back."""
+        """Revoke the lease."""
         try:
-            self.store.revoke_lease(self.lease)
+            self.store.revoke_lease(self.lease_id)
         except StoreUnavailableError:
-            log.warning("Store unavailable, the lease will run out by itself.")
+            log.warning("Store unavailable; lease not revoked, it will expire.")
 
     def renew_forever(self) -> None:
-        """Renew until `ReplacedError`."""
+        """Renew the lease periodically until `ReplacedError` is raised."""
         while True:
             eventlet.sleep(self.seconds / 3)
             try:
                 self.renew_once()
             except (StoreUnavailableError, LeaseGoneError) as error:
                 self.metrics.count("membership.renewal_failed")
-                log.warning("Lease not renewed: %s", error)
+                log.warning("Lease renewal failed: %s", error)
 
     def renew_once(self) -> None:
-        """Renew the lease, or take a new one when the store forgot it."""
+        """Renew the lease, or register again if the store no longer has it."""
         try:
-            self.store.renew_lease(self.lease)
+            self.store.renew_lease(self.lease_id)
             self.store_seen_at = self.clock.monotonic()
         except LeaseGoneError:
             self.metrics.count("membership.lease_lost")
-            log.warning("Lease gone, taking a new one.")
+            log.warning("Lease not found in the store; registering under a new one.")
             self.register()
--- a/src/cedarchute/membership/partition_record.py
+++ b/src/cedarchute/membership/partition_record.py
@@ -1,4 +1,4 @@
-"""Who owns the programs that one incarnation of a box has opened."""
+"""The stored record of a partition and its owner."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class PartitionRecord(Message):
-    """The store's record of a partition: the programs minted by one incarnation.
+    """Ownership of a partition: the programs created by one incarnation of a box.
 
     Parameters
     ----------
     partition : str
-        The identity of the box that minted the programs.
+        The identity of the box that created the programs.
     epoch : int
-        Goes up with each change of owner; holders refuse lower ones.
+        Incremented at each change of owner; holders reject lower epochs.
     owner : str
-        The identity of the box that orders the calls now.
+        The identity of the box that currently runs the programs.
     holders : tuple of str
-        The holders of copies, the preferred ones first.
+        The holders of the program logs, in order of preference.
     quorum : int
-        How many holders must have a record before it counts as kept. A new
-        owner seals ``len(holders) - quorum + 1`` of them, so it meets each kept
-        record.
+        How many holders must store a record before it counts as committed. A new
+        owner seals ``len(holders) - quorum + 1`` of them, which overlaps with every
+        write quorum, so that it reads each committed record.
     operation : str
-        Unique to each write, so that a lost reply can be settled.
+        Unique id of each write; shows whether a write with a lost reply succeeded.
     """
 
     partition: str
@@ -35,5 +35,5 @@
 
     @property
     def seals_needed(self) -> int:
-        """How many holders a new owner has to seal."""
+        """How many holders a new owner must seal before it reads the records."""
         return len(self.holders) - self.quorum + 1
--- a/src/cedarchute/membership/rank.py
+++ b/src/cedarchute/membership/rank.py
@@ -1,4 +1,4 @@
-"""A number that every box computes alike, by which boxes agree without a word."""
+"""A stable hash, by which boxes agree on an order without coordination."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from functools import lru_cache
 from typing import Final
 
-RANKS_KEPT: Final = 2048
+CACHE_SIZE: Final = 2048
 
 
-@lru_cache(maxsize=RANKS_KEPT)
+@lru_cache(maxsize=CACHE_SIZE)
 def rank(*parts: str) -> int:
-    """Return a number that every box computes alike for the same parts."""
+    """Return a 64-bit hash of the parts, the same in every process."""
     digest = hashlib.blake2b("|".join(parts).encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
--- a/src/cedarchute/membership/store_keys.py
+++ b/src/cedarchute/membership/store_keys.py
@@ -1,4 +1,4 @@
-"""The keys under which the boxes share what they must agree on."""
+"""Keys of the shared state in the platform's store."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 @dataclass(frozen=True)
 class StoreKeys:
-    """Every key that the system uses in the platform's store."""
+    """Builds the keys of all entries; each starts with `prefix`."""
 
     prefix: str
 
     @property
     def boxes(self) -> str:
-        """The prefix of the records of boxes."""
+        """The prefix of the box records."""
         return f"{self.prefix}boxes/"
 
     @property
     def partitions(self) -> str:
-        """The prefix of the records of partitions."""
+        """The prefix of the partition records."""
         return f"{self.prefix}partitions/"
 
     @property
     def configuration(self) -> str:
-        """The key of the accepted file."""
+        """The key of the accepted configuration file."""
         return f"{self.prefix}configuration"
 
     def box(self, name: str) -> str:
-        """Return the key of the record of a box."""
+        """Return the key of a box record."""
         return f"{self.boxes}{name}"
 
     def incarnation(self, name: str) -> str:
-        """Return the key of the last incarnation of a box."""
+        """Return the key of the latest incarnation number of a box."""
         return f"{self.prefix}incarnations/{name}"
 
     def partition(self, partition: str) -> str:
-        """Return the key of the record of a partition."""
+        """Return the key of a partition record."""
         return f"{self.partitions}{partition}"
 
     def order(self, target: str) -> str:
-        """Return the key of the last order to a target."""
+        """Return the key of the last command to a target."""
         return f"{self.prefix}orders/{target}"
--- a/src/cedarchute/membership/store_watcher.py
+++ b/src/cedarchute/membership/store_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the store's changes into the view and the configuration."""
+"""Applies changes in the store to the view and the configuration."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class StoreWatcher:
-    """Lists everything once, then waits for changes.
+    """Lists all entries, then watches the store for changes.
 
-    While the store is down the view stays as it was: silence of the store is no
-    sign that a box is gone.
+    While the store is unavailable the view stays unchanged, because an unavailable
+    store says nothing about the boxes.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self.clock = clock
 
     def watch_forever(self) -> None:
-        """List and watch, again after each interruption."""
+        """List and watch; start over after each interruption."""
         while True:
             try:
                 self.watch_once(self.read_all())
@@ -55,27 +55,27 @@
                 eventlet.sleep(RETRY_SECONDS)
 
     def read_all(self) -> int:
-        """Take in every entry; return the store's revision."""
+        """Apply all entries, drop missing boxes and return the store's revision."""
         listing = self.store.list(self.keys.prefix)
         present = set()
         for entry in listing.entries:
             present.add(entry.key)
-            self.on_entry(entry)
+            self.apply_entry(entry)
         for name in list(self.view.boxes):
             if self.keys.box(name) not in present:
                 self.view.drop_box(name, self.clock.monotonic())
         return listing.revision
 
     def watch_once(self, revision: int) -> None:
-        """Follow one watch until it ends."""
+        """Apply the changes of one watch until it ends."""
         for change in self.store.watch(self.keys.prefix, revision):
             if change.entry is not None:
-                self.on_entry(change.entry)
+                self.apply_entry(change.entry)
             else:
-                self.on_removed(change.key)
+                self.apply_removal(change.key)
 
-    def on_entry(self, entry: StoreEntry) -> None:
-        """Take in one entry."""
+    def apply_entry(self, entry: StoreEntry) -> None:
+        """Apply a new or changed entry."""
         if entry.key.startswith(self.keys.boxes):
             self.view.put_box(BoxRecord.model_validate_json(entry.value))
         elif entry.key.startswith(self.keys.partitions):
@@ -85,8 +85,8 @@
                 AcceptedFile.model_validate_json(entry.value), "store"
             )
 
-    def on_removed(self, key: str) -> None:
-        """Take in that a key went away."""
+    def apply_removal(self, key: str) -> None:
+        """Apply the removal of a key."""
         if key.startswith(self.keys.boxes):
             name = key.removeprefix(self.keys.boxes)
             self.view.drop_box(name, self.clock.monotonic())
--- a/src/cedarchute/membership/view.py
+++ b/src/cedarchute/membership/view.py
@@ -1,4 +1,4 @@
-"""What this box knows of the other boxes and of the partitions."""
+"""The local view of boxes and partitions."""
 
 from __future__ import annotations
 
@@ -17,25 +17,28 @@
 
 
 class View:
-    """The boxes and partitions as last read from the store.
+    """The boxes and partitions as last read from the store or told by heartbeats.
 
-    A box whose record went away stays known as `absent` until it is proved gone,
-    because a record also goes away when the store loses its leases.
+    A box whose record was removed is kept in `absent` until its failure is confirmed,
+    because the store also removes records when it loses its leases.
     """
 
     def __init__(self) -> None:
         self.boxes: dict[str, BoxRecord] = {}
         self.absent: dict[str, tuple[BoxRecord, float]] = {}
-        self.by_holder: dict[str, BoxRecord] = {}
+        self.boxes_by_holder: dict[str, BoxRecord] = {}
         self.partitions: dict[str, PartitionRecord] = {}
         self.partition_versions: dict[str, int] = {}
         self.platform_leaving: frozenset[str] = frozenset()
-        self.refusals: dict[str, int] = {}
+        self.consecutive_refusals: dict[str, int] = {}
         self.listeners: list[Callable[[], None]] = []
         self._rings: dict[str | None, BoxRing] = {}
 
     def put_box(self, record: BoxRecord) -> None:
-        """Take in the record of a box."""
+        """Store the record of a box, unless a newer one is known.
+
+        Within an incarnation, a box that is leaving does not become live again.
+        """
         known = self.boxes.get(record.name)
         if known is not None and known.incarnation > record.incarnation:
             return
@@ -47,45 +50,45 @@
         for earlier in (known, absent):
             if earlier is not None and earlier.holder != record.holder:
                 self._forget_holder(earlier)
-        self.by_holder[record.holder] = record
-        self._changed()
+        self.boxes_by_holder[record.holder] = record
+        self._notify_listeners()
 
     def drop_box(self, name: str, now: float) -> None:
-        """Take in that the store no longer has the record of a box."""
+        """Mark a box as absent: the store no longer has its record."""
         record = self.boxes.pop(name, None)
         if record is not None:
             self.absent[name] = (record, now)
-            self._changed()
+            self._notify_listeners()
 
     def forget_box(self, name: str) -> None:
-        """Take in that an absent box is proved gone."""
+        """Remove an absent box whose failure is confirmed."""
         found = self.absent.pop(name, None)
         if found is not None:
             self._forget_holder(found[0])
 
     def _forget_holder(self, record: BoxRecord) -> None:
-        known = self.by_holder.get(record.holder)
+        known = self.boxes_by_holder.get(record.holder)
         if known is not None and known.name == record.name:
-            del self.by_holder[record.holder]
+            del self.boxes_by_holder[record.holder]
 
     def put_partition(self, entry: StoreEntry) -> None:
-        """Take in the record of a partition, unless a higher epoch is known."""
+        """Store the record of a partition, unless a higher epoch is known."""
         record = PartitionRecord.model_validate_json(entry.value)
         known = self.partitions.get(record.partition)
         if known is not None and known.epoch > record.epoch:
             return
         self.partitions[record.partition] = record
         self.partition_versions[record.partition] = entry.version
-        self._changed()
+        self._notify_listeners()
 
     def drop_partition(self, partition: str) -> None:
-        """Take in that a partition has no programs any more."""
+        """Remove a partition that no longer has programs."""
         self.partitions.pop(partition, None)
         self.partition_versions.pop(partition, None)
-        self._changed()
+        self._notify_listeners()
 
     def find_box(self, identity: str) -> BoxRecord | None:
-        """Return the box of that name and incarnation, absent ones included."""
+        """Return the box with this identity, including absent boxes."""
         name, _, incarnation = identity.rpartition(".")
         record = self.boxes.get(name)
         if record is None and name in self.absent:
@@ -95,44 +98,46 @@
         return record
 
     def is_replaced(self, identity: str) -> bool:
-        """Return whether a later incarnation of that box has started."""
+        """Return whether a later incarnation of the box is known."""
         name, _, incarnation = identity.rpartition(".")
         record = self.boxes.get(name)
         return record is not None and record.incarnation > int(incarnation)
 
     def set_platform_leaving(self, names: Iterable[str]) -> None:
-        """Take in which boxes the platform's list calls leaving."""
+        """Set the boxes that the platform's list marks as leaving."""
         leaving = frozenset(names)
         if leaving != self.platform_leaving:
             self.platform_leaving = leaving
-            self._changed()
+            self._notify_listeners()
 
     def on_refused(self, identity: str) -> None:
-        """Note that nothing listened at the port of a box."""
-        self.refusals[identity] = self.refusals.get(identity, 0) + 1
+        """Count a connection that the port of a box refused."""
+        self.consecutive_refusals[identity] = (
+            self.consecutive_refusals.get(identity, 0) + 1
+        )
         self._rings.clear()
 
     def on_heard(self, identity: str) -> None:
-        """Note that a box has answered."""
-        if self.refusals.pop(identity, None) is not None:
+        """Reset the count of refused connections: the box has responded."""
+        if self.consecutive_refusals.pop(identity, None) is not None:
             self._rings.clear()
 
     def is_refusing(self, identity: str) -> bool:
-        """Return whether nothing listens at a box: its process is gone."""
-        return self.refusals.get(identity, 0) >= REFUSALS_NEEDED
+        """Return whether a box refuses connections, so that its process has ended."""
+        return self.consecutive_refusals.get(identity, 0) >= REFUSALS_NEEDED
 
     def find_holder(self, holder: str) -> BoxRecord | None:
-        """Return the box that keeps the copies of `holder`."""
-        return self.by_holder.get(holder)
+        """Return the box that runs `holder`."""
+        return self.boxes_by_holder.get(holder)
 
     @property
-    def all_boxes(self) -> Iterable[BoxRecord]:
-        """Every box that is not proved gone."""
+    def known_boxes(self) -> Iterable[BoxRecord]:
+        """All boxes, including absent ones."""
         return [*self.boxes.values(), *(record for record, _ in self.absent.values())]
 
     @property
     def entries(self) -> list[BoxRecord]:
-        """The boxes that callers may be sent to."""
+        """The boxes that accept new callers."""
         return [
             record
             for record in self.boxes.values()
@@ -143,11 +148,11 @@
 
     @property
     def ring(self) -> BoxRing:
-        """The entries as a ring, which deals things out to them."""
+        """The hash ring of all entries."""
         return self._find_ring(None)
 
     def ring_of(self, region: str) -> BoxRing:
-        """Return the entries of a region as a ring; all when it has none."""
+        """Return the hash ring of a region, or of all entries if it has none."""
         ring = self._find_ring(region)
         return ring if ring.names else self.ring
 
@@ -159,7 +164,7 @@
             self._rings[region] = ring
         return ring
 
-    def _changed(self) -> None:
+    def _notify_listeners(self) -> None:
         self._rings.clear()
         for listener in self.listeners:
             listener()
--- a/tests/membership/test_heartbeats.py
+++ b/tests/membership/test_heartbeats.py
@@ -41,22 +41,22 @@
         successor = make_heartbeats(record, records).find_successor()
         assert successor.region == record.region
         watched[successor.name] = record.name
-    # A region that is cut off from the others still notices its dead boxes.
+    # Failure detection within a region must not depend on the other regions.
     assert len(watched) == len(records)
 
 
 def test_the_others_are_chosen_from_every_region():
     records = make_records(70, regions=7)
-    beats = make_heartbeats(records[0], records)
-    successor = beats.find_successor()
-    chosen = {beats.choose_others(successor)[0].region for _ in range(100)}
+    heartbeats = make_heartbeats(records[0], records)
+    successor = heartbeats.find_successor()
+    chosen = {heartbeats.choose_random_peers(successor)[0].region for _ in range(100)}
     assert len(chosen) == 7
 
 
 def test_a_box_alone_in_its_region_beats_to_others_by_chance():
     records = make_records(7, regions=7)
-    beats = make_heartbeats(records[0], records)
-    assert beats.find_successor() is None
-    assert len(beats.choose_others(None)) == 1
+    heartbeats = make_heartbeats(records[0], records)
+    assert heartbeats.find_successor() is None
+    assert len(heartbeats.choose_random_peers(None)) == 1
     alone = make_heartbeats(records[0], records[:1])
-    assert alone.choose_others(alone.find_successor()) == []
+    assert alone.choose_random_peers(alone.find_successor()) == []
