--- a/src/cedarchute/decisions/__init__.py
+++ b/src/cedarchute/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: inputs in, a decision out; no sockets, clocks or tasks."""
+"""Pure decision logic for overload, quotas and staleness: no I/O or tasks."""
--- a/src/cedarchute/decisions/aim_use.py
+++ b/src/cedarchute/decisions/aim_use.py
@@ -1,77 +1,75 @@
-"""How much of the time that they should take programs of one kind use when all is calm.
+"""Share of their time budget that programs of a route use on unloaded engines.
 
-Answers load on callers of unlike patience: where programs may take three times as long
-as on idle engines, a burst is best let in and slowed down; where they may take half as
-long again, it has to be refused early. Nobody tells a box which it is; the programs
-that it sees end their turns do.
+Callers set budgets of different length. Where budgets are long, a burst can be admitted
+and slowed down; where they are short, it has to be shed early. A box learns which case
+applies from the programs whose turns it sees end.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# Until a window is full: of programs that may take 2.5 times as long. Whoever does not
-# know yet lets in what might be in time.
-DEFAULT: Final = 0.4
-# Turns of a window, some seconds at a busy box.
-WINDOW: Final = 20
-# Turns end all along a program; the last ones of most programs lie above this share of
-# all. Higher, programs that loop without end would count.
+# Assumed until the first window is full; low, so that programs are admitted rather
+# than shed while nothing is known.
+DEFAULT_USAGE: Final = 0.4
+# Turns per window.
+WINDOW_TURNS: Final = 20
+# Most turns end midway through a program, so a high quantile stands for its end; a
+# higher one would pick up programs that loop without end.
 QUANTILE: Final = 0.8
-# At higher slowdowns waits are part of the time used, not the engines alone.
-MOST_SLOWDOWN: Final = 1.5
-# While a box has seen nothing for longer than this, only programs that began a moment
-# ago end turns: they would look as if they used little.
-WARM_SECONDS: Final = 5.0
-# Beyond this a program is late, by whatever.
-MOST: Final = 1.0
-LEAST: Final = 0.1
+# Above this slowdown the time used includes queueing, not the engines alone.
+MAX_SLOWDOWN: Final = 1.5
+# The first turns that a new box sees are those of programs that have just begun.
+WARMUP_SECONDS: Final = 5.0
+# Bounds of the share; above the upper one a program is late.
+MAX_USAGE: Final = 1.0
+MIN_USAGE: Final = 0.1
 
 
 class AimUse:
-    """The share of their time at which programs of one kind end.
+    """Estimates the share of their time budget that programs have used at their end.
 
     Attributes
     ----------
     share : float
-        Time used at the end, by the time that programs should take.
+        Time used at the end of a program, as a share of its time budget.
     """
 
     def __init__(self) -> None:
-        self.share = DEFAULT
+        self.share = DEFAULT_USAGE
         self.window: list[float] = []
-        self.windows = 0
-        self.first_at: float | None = None
+        self.completed_windows = 0
+        self.first_turn_at: float | None = None
 
     def record_turn(
         self, now: float, slowdown: float, used_seconds: float, left_seconds: float
     ) -> None:
-        """Take in the end of a turn.
+        """Record the end of a turn.
 
         Parameters
         ----------
         now : float
-            Seconds of a steady clock.
+            Monotonic time in seconds.
         slowdown : float
-            Times that calls take now, of what they usually take.
+            Current latency of calls relative to the baseline.
         used_seconds, left_seconds : float
-            Since the program was first asked for, and until it should be over.
+            Time since the program was first requested, and time left in its budget.
         """
-        whole = used_seconds + left_seconds
-        if self.first_at is None:
-            self.first_at = now
-        is_warm = now - self.first_at >= WARM_SECONDS
-        if whole <= 0 or not is_warm or slowdown > MOST_SLOWDOWN:
+        budget_seconds = used_seconds + left_seconds
+        if self.first_turn_at is None:
+            self.first_turn_at = now
+        is_warm = now - self.first_turn_at >= WARMUP_SECONDS
+        if budget_seconds <= 0 or not is_warm or slowdown > MAX_SLOWDOWN:
             return
-        calm_seconds = used_seconds / max(1.0, slowdown)
-        self.window.append(min(MOST, calm_seconds / whole))
-        if len(self.window) >= WINDOW:
-            self.take_in()
+        unloaded_seconds = used_seconds / max(1.0, slowdown)
+        self.window.append(min(MAX_USAGE, unloaded_seconds / budget_seconds))
+        if len(self.window) >= WINDOW_TURNS:
+            self.fold_window()
 
-    def take_in(self) -> None:
-        """Believe the window as much as all before it, and begin another."""
+    def fold_window(self) -> None:
+        """Average the full window with the previous estimate and start a new one."""
         self.window.sort()
-        seen = max(LEAST, self.window[int(QUANTILE * len(self.window))])
-        self.share = (self.share + seen) / 2 if self.windows else seen
-        self.windows += 1
+        quantile = max(MIN_USAGE, self.window[int(QUANTILE * len(self.window))])
+        self.share = (self.share + quantile) / 2 if self.completed_windows else quantile
+        self.completed_windows += 1
         self.window = []
--- a/src/cedarchute/decisions/knowledge_age.py
+++ b/src/cedarchute/decisions/knowledge_age.py
@@ -1,10 +1,9 @@
-"""How old a box lets its knowledge of the store become, and whom it asks then.
+"""How stale a box lets its view of the store become, and whom it queries then.
 
-Answers a change that is made just after the way by which a box hears of changes fell
-silent: a watch whose answer was lost, a reader that is cut off from the store and does
-not know it yet. Neither says anything, so what bounds the age of a box's knowledge is
-its own clock. The boxes of a failure domain ask in turn by their rank, other boxes come
-before the store, and so the calls to the store grow with the failure domains.
+A watch whose response was lost, or a reader that is partitioned from the store, looks
+like a store without changes, so a box bounds staleness by its own clock. The boxes of a
+failure domain query in the order of their rank, and other boxes before the store, so
+that the load on the store grows with the number of failure domains.
 """
 
 from __future__ import annotations
@@ -15,24 +14,24 @@
 if TYPE_CHECKING:
     import random
 
-# Parts of the time within which a change has to be known, all from the last moment for
-# which somebody asked the store. What is left at the end is for one answer of the store
-# and for a loop that wakes late: with 2 s, the last box asks at 1.7 s.
-READER_SHARE: Final = 0.4
-# A proof of the first reader has come round by then.
-SECOND_READER_SHARE: Final = 0.5
-BOXES_SHARE: Final = 0.55
-STORE_SHARE: Final = 0.75
-# Boxes that lost the same reader do not all ask at once.
-SPREAD_SHARE: Final = 0.1
-# How long another box may take to answer: two are asked before the store is.
-ANSWER_SHARE: Final = 0.1
-# Between two tries, and between two looks at what is due.
-PAUSE_SHARE: Final = 0.05
+# Fractions of the time within which a change has to be known, counted from the last
+# confirmed read of the store. The last box queries early enough for one response and
+# for an event loop that wakes up late.
+FIRST_READER_FRACTION: Final = 0.4
+# Leaves the first reader time to pass on what it read.
+SECOND_READER_FRACTION: Final = 0.5
+BOXES_FRACTION: Final = 0.55
+STORE_FRACTION: Final = 0.75
+# Jitter, so that boxes that lost the same reader don't all query at once.
+JITTER_FRACTION: Final = 0.1
+# Timeout of a query to another box; two fit in before the store is queried.
+TIMEOUT_FRACTION: Final = 0.1
+# Interval between retries and between checks of the age.
+POLL_FRACTION: Final = 0.05
 
 
 class ReaderRank(Enum):
-    """Which part a box has among those of its failure domain."""
+    """The rank of a box among the readers of its failure domain."""
 
     FIRST = "first"
     SECOND = "second"
@@ -40,7 +39,7 @@
 
 
 class Step(Enum):
-    """What a box does about the age of its knowledge."""
+    """How a box refreshes its view."""
 
     NOTHING = "nothing"
     ASK_A_BOX = "ask a box"
@@ -48,35 +47,35 @@
 
 
 class KnowledgeAge:
-    """The ages at which a box of each rank asks.
+    """The ages at which a box of each rank refreshes its view of the store.
 
     Parameters
     ----------
     known_seconds : float
-        Within which a change has to be known at every box that reaches the store.
-    chance : random.Random
-        Draws by how much this box asks later than the first listener.
+        Time within which a change has to be known at every box that reaches the store.
+    random_source : random.Random
+        Source of this box's jitter.
     """
 
-    def __init__(self, known_seconds: float, chance: random.Random) -> None:
-        spread = chance.uniform(0, SPREAD_SHARE)
-        self.reader_seconds = READER_SHARE * known_seconds
-        self.second_reader_seconds = SECOND_READER_SHARE * known_seconds
-        self.boxes_seconds = (BOXES_SHARE + spread) * known_seconds
-        self.store_seconds = (STORE_SHARE + spread) * known_seconds
-        self.answer_seconds = ANSWER_SHARE * known_seconds
-        self.pause_seconds = PAUSE_SHARE * known_seconds
+    def __init__(self, known_seconds: float, random_source: random.Random) -> None:
+        jitter = random_source.uniform(0, JITTER_FRACTION)
+        self.first_reader_seconds = FIRST_READER_FRACTION * known_seconds
+        self.second_reader_seconds = SECOND_READER_FRACTION * known_seconds
+        self.boxes_seconds = (BOXES_FRACTION + jitter) * known_seconds
+        self.store_seconds = (STORE_FRACTION + jitter) * known_seconds
+        self.answer_seconds = TIMEOUT_FRACTION * known_seconds
+        self.pause_seconds = POLL_FRACTION * known_seconds
 
     def find_first_seconds(self, rank: ReaderRank) -> float:
-        """Return the age at which a box of that rank first asks anybody."""
+        """Return the age at which a box of that rank sends its first query."""
         if rank is ReaderRank.FIRST:
-            return self.reader_seconds
+            return self.first_reader_seconds
         if rank is ReaderRank.SECOND:
             return self.second_reader_seconds
         return self.boxes_seconds
 
     def choose_step(self, rank: ReaderRank, age_seconds: float) -> Step:
-        """Return what a box of that rank does with knowledge of that age."""
+        """Return how a box of that rank refreshes a view of that age."""
         if age_seconds < self.find_first_seconds(rank):
             return Step.NOTHING
         if rank is ReaderRank.LISTENER and age_seconds < self.store_seconds:
--- a/src/cedarchute/decisions/program_admission.py
+++ b/src/cedarchute/decisions/program_admission.py
@@ -1,11 +1,8 @@
-"""Lets a new program in, or refuses it at once.
-
-Answers load past what the engines carry. If all are let in, every batch is full, each
-token of each program slows down, and all end late: goodput falls to nothing instead of
-staying at what the engines carry. So programs under way go on to their end, whatever
-the load, and as many new ones are refused as keep the others in time. Replayed on
-modelled engines at 4.5 times the load for 8 s, turns of programs in time rise from 10
-to 213 a second, of 250 at most.
+"""Admits a new program or refuses it at once, to shed load.
+
+If every program is admitted under overload, all of them slow down and miss their
+budgets, and goodput collapses. So programs under way always continue, and new ones are
+refused as far as the others need it to finish in time.
 """
 
 from __future__ import annotations
@@ -15,46 +12,46 @@
 
 from cedarchute.record import Record
 
-# Below this slowdown nobody is refused: the engines have room.
+# Below this slowdown the engines have spare capacity, and no program is refused.
 STRAINED_SLOWDOWN: Final = 1.1
-# A program is expected to use this share of its time when the first is refused, and
-# when all are. Half of all programs take longer than expected, and what was let in a
-# moment ago slows the engines only later, so refusing begins before the whole is used;
-# sooner, a burst that the engines can carry has programs refused.
-FIRST_REFUSED_USE: Final = 0.85
-ALL_REFUSED_USE: Final = 1.0
-# Programs of a more important route are refused later by this share, for each rank, up
-# to the most: they are not to be served less than others.
-RANK_EASE: Final = 0.04
-MOST_EASE: Final = 0.08
-
-# Time lost before a program is let in counts this many times: who comes back would be
-# late more often than who comes first, and takes a place from one that isn't.
+# Shares of its time budget that a program is expected to use at which the first
+# programs are refused, and all of them. Refusing begins below the whole budget, because
+# many programs take longer than expected and those just admitted slow the engines down
+# only later; but not so early that a burst within capacity is shed.
+SHEDDING_START_USAGE: Final = 0.85
+FULL_SHEDDING_USAGE: Final = 1.0
+# Usage by which programs of a more important route are refused later, per rank below
+# it; capped, so that less important routes are not starved.
+RANK_ALLOWANCE: Final = 0.04
+MAX_RANK_ALLOWANCE: Final = 0.08
+
+# Weight of the time lost before admission: a program that was refused before is more
+# likely to be late than a new one.
 WAIT_WEIGHT: Final = 4.0
-# A refused caller comes back after this share of the time it has left: soon enough to
-# be in time yet, late enough to find other programs gone.
-RETRY_AIM_SHARE: Final = 0.3
-LEAST_RETRY_SECONDS: Final = 0.2
-MOST_RETRY_SECONDS: Final = 1.0
+# Share of the remaining budget after which a refused caller should retry: early enough
+# to still finish in time, late enough for other programs to have ended.
+RETRY_BUDGET_FRACTION: Final = 0.3
+MIN_RETRY_SECONDS: Final = 0.2
+MAX_RETRY_SECONDS: Final = 1.0
 
 
 class AdmissionInputs(Record):
-    """What a decision is made from.
+    """Inputs of an admission decision.
 
     Attributes
     ----------
     slowdown : float
-        Times that calls take now, of what they usually take.
+        Current latency of calls relative to the baseline.
     usual_use : float
-        The share of their time that programs of this kind use when all is calm.
+        Share of their time budget that programs of this kind use on unloaded engines.
     ranks_behind : int
-        How many ranks of routes are less important.
+        Number of ranks of routes that are less important.
     standing : float
-        Between 0 and 1, drawn from the program's name: see `find_standing`.
+        Between 0 and 1, a hash of the program's name: see `find_standing`.
     aim_seconds : float or None
-        What the caller says is left of the time that the program should take.
+        Time left in the program's budget, as stated by the caller.
     waited_seconds : float
-        How long ago the program was first asked for, at any box.
+        Time since the program was first requested, at any box.
     """
 
     slowdown: float
@@ -66,14 +63,14 @@
 
     @property
     def expected_use(self) -> float:
-        """Share of its time that the program has used at its end, if let in now."""
-        whole = self.waited_seconds + (self.aim_seconds or 0.0)
-        waited = self.waited_seconds / whole if whole > 0 else 0.0
+        """Share of its budget that the program will have used at its end."""
+        budget_seconds = self.waited_seconds + (self.aim_seconds or 0.0)
+        waited = self.waited_seconds / budget_seconds if budget_seconds > 0 else 0.0
         return WAIT_WEIGHT * waited + self.slowdown * self.usual_use
 
 
 class AdmissionDecision(Record):
-    """Whether a program is let in; if not, when its caller should come back."""
+    """Whether a program is admitted; if not, when its caller should retry."""
 
     admitted: bool
     refused_share: float
@@ -81,31 +78,30 @@
 
 
 def decide_admission(inputs: AdmissionInputs) -> AdmissionDecision:
-    """Return whether a new program is let in."""
+    """Return whether a new program is admitted."""
     if inputs.slowdown < STRAINED_SLOWDOWN:
         return AdmissionDecision(True, 0.0)
-    ease = min(MOST_EASE, RANK_EASE * inputs.ranks_behind)
-    excess = inputs.expected_use - ease - FIRST_REFUSED_USE
-    share = excess / (ALL_REFUSED_USE - FIRST_REFUSED_USE)
+    allowance = min(MAX_RANK_ALLOWANCE, RANK_ALLOWANCE * inputs.ranks_behind)
+    excess = inputs.expected_use - allowance - SHEDDING_START_USAGE
+    share = excess / (FULL_SHEDDING_USAGE - SHEDDING_START_USAGE)
     share = min(1.0, max(0.0, share))
     if inputs.standing >= share:
         return AdmissionDecision(True, share)
-    return AdmissionDecision(False, share, find_retry_seconds(inputs.aim_seconds))
+    return AdmissionDecision(False, share, compute_retry_seconds(inputs.aim_seconds))
 
 
 def find_standing(program: str) -> float:
-    """Return a number between 0 and 1 that every box draws for a program alike.
+    """Return a hash of a program's name between 0 and 1, the same at every box.
 
-    A program that is refused meets the same answer at each box and each time that it
-    comes back, until the load falls. So those that are let in are let in at their first
-    try, with all their time, instead of after refusals that left them too little.
+    A refused program is refused at every box and at every retry until the load falls.
+    Those admitted are thus admitted at their first attempt, with their whole budget.
     """
     return zlib.crc32(program.encode()) / 2**32
 
 
-def find_retry_seconds(aim_seconds: float | None) -> float:
-    """Return when a refused caller should come back."""
+def compute_retry_seconds(aim_seconds: float | None) -> float:
+    """Return the delay after which a refused caller should retry."""
     if aim_seconds is None:
-        return LEAST_RETRY_SECONDS
-    wanted = RETRY_AIM_SHARE * aim_seconds
-    return min(MOST_RETRY_SECONDS, max(LEAST_RETRY_SECONDS, wanted))
+        return MIN_RETRY_SECONDS
+    delay_seconds = RETRY_BUDGET_FRACTION * aim_seconds
+    return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, delay_seconds))
--- a/src/cedarchute/decisions/quota_share.py
+++ b/src/cedarchute/decisions/quota_share.py
@@ -1,13 +1,12 @@
 """One keeper's share of the calls that a workspace may make.
 
-Answers one workspace that sends many times its usual while its calls come in at any
-box. Each limit is split among a few keepers, and each grants from its own share alone:
-whichever of them are lost, cut off or frozen, the sum stays within the limit, and no
-keeper has to agree with another. A call that one keeper refuses is asked for at the
-next, so the shares together serve what one bucket would.
-
-Past the limit, calls of programs under way wait a moment for the next free one, and
-new programs are refused: a program that is cut midway has used its calls for nothing.
+The calls of a workspace arrive at any box. Its limit is split among a few keepers, each
+of which grants calls from its own share alone: the sum stays within the limit whichever
+of them fail or are partitioned, and they need no consensus. A call that one keeper
+refuses is requested from the next, so together the shares act like one token bucket.
+
+Over the limit, calls of programs under way wait briefly for the next token, and new
+programs are refused: a program that is cut off midway has wasted its calls.
 """
 
 from __future__ import annotations
@@ -20,37 +19,36 @@
 if TYPE_CHECKING:
     from cedarchute.clock import Clock
 
-# With three, the loss of one leaves two thirds of a limit; with more, a workspace of
-# few calls finds less than one call in each.
+# Losing one of three leaves two thirds of a limit; with more, the share of a small
+# workspace would be less than one call.
 KEEPERS: Final = 3
-# Calls that begin a program leave this part of a share to programs under way. More of
-# it refuses more starts below the limit.
+# Fraction of a share that is reserved for programs under way; with more, programs are
+# refused at their start below the limit.
 START_RESERVE: Final = 0.15
-# Calls of programs under way wait for a free one at the most so long: a program has
-# seconds in all, and its caller waits for a tool once.
+# Longest wait for a token, short relative to the time budget of a program.
 MOST_WAIT_SECONDS: Final = 1.0
-# A workspace of few calls needs room for whole programs at once, so limits are
-# stretched by nearly all that they may be exceeded by. The
-# rest is left to keepers that begin anew and to calls that wait before their target.
-OVERRUN_RATE_SHARE: Final = 0.5
-SLACK_RATE_SHARE: Final = 0.5
-SLACK_BURST_SHARE: Final = 0.4
-# Of what is left, the part that a keeper begins with; calls that were promised by the
-# one before may still be on their way.
-FIRST_SHARE: Final = 0.8
+# Fractions of the tolerance by which limits are raised, since a small workspace needs
+# room for whole programs at once. The rest covers keepers that restart and calls that
+# are delayed between grant and target.
+OVERRUN_RATE_FRACTION: Final = 0.5
+SLACK_RATE_FRACTION: Final = 0.5
+SLACK_BURST_FRACTION: Final = 0.4
+# Fraction of that rest with which a restarted keeper begins; calls that its predecessor
+# granted may still be in flight.
+INITIAL_FRACTION: Final = 0.8
 
 
 class QuotaTolerance(Record):
-    """By how much operators let a limit be exceeded.
+    """How far operators allow a limit to be exceeded.
 
     Attributes
     ----------
     window_seconds : float
-        The span within which calls are counted.
+        Length of the window within which calls are counted.
     overrun : float
-        The part of a limit by which that span may exceed it.
+        Fraction of a limit by which a window may exceed it.
     slack : float
-        Calls in that span beyond this.
+        Calls by which a window may exceed that.
     """
 
     window_seconds: float = 5.0
@@ -59,16 +57,16 @@
 
 
 class QuotaLimit(Record):
-    """What all boxes together let a workspace do, by one version of the configuration.
+    """Limit of a workspace across all boxes, from one version of the configuration.
 
     Attributes
     ----------
     calls_per_second : float
-        In the long run.
+        Long-term rate.
     burst : float
-        Calls at once beyond that.
+        Calls at once beyond the rate.
     keepers : int
-        Among how many it is split; where fewer boxes can keep shares than usual, fewer.
+        Number of keepers among which it is split; lower where few boxes can be keepers.
     """
 
     version: int
@@ -78,14 +76,15 @@
 
 
 class QuotaGrant(Record):
-    """Whether a call may pass.
+    """Answer to the request for a call.
 
     Attributes
     ----------
     wait_seconds : float
-        After how long it may; if it may not, when another of its kind may.
+        Delay after which a granted call may be sent; for a refused one, until a call of
+        its kind would be granted.
     level : float
-        Calls that are left.
+        Tokens left.
     """
 
     granted: bool
@@ -94,15 +93,15 @@
 
 
 class QuotaShare:
-    """Grants calls of one workspace; goes by the newest limit that it was told.
+    """Grants calls of one workspace by the newest limit that it has received.
 
-    A keeper that starts doesn't know what its predecessor granted a moment ago: it
-    begins with what its limit is not stretched by, and not with a whole burst.
+    A keeper that starts doesn't know what its predecessor granted. It therefore begins
+    with the unused part of the tolerance instead of a full burst.
 
     Parameters
     ----------
     keeper_started_at : float
-        When the keeper started, by `clock`; since then nobody was granted anything.
+        Time by `clock` at which the keeper started; it has granted no calls before.
     """
 
     def __init__(
@@ -116,46 +115,46 @@
         self.tolerance = tolerance
         rate = self.find_rate()
         since_start = max(0.0, clock.monotonic() - keeper_started_at)
-        level = self.find_first_level() + rate * since_start
+        level = self.find_initial_level() + rate * since_start
         self.bucket = TokenBucket(rate, self.find_burst(), clock, level)
 
     def find_rate(self) -> float:
-        """Return how many calls a second come to this share."""
+        """Return the calls per second of this share."""
         tolerance = self.tolerance
-        stretch = 1.0 + OVERRUN_RATE_SHARE * tolerance.overrun
+        stretch = 1.0 + OVERRUN_RATE_FRACTION * tolerance.overrun
         rate = self.limit.calls_per_second * stretch
-        slack_rate = SLACK_RATE_SHARE * tolerance.slack / tolerance.window_seconds
+        slack_rate = SLACK_RATE_FRACTION * tolerance.slack / tolerance.window_seconds
         return (rate + slack_rate) / self.limit.keepers
 
     def find_burst(self) -> float:
-        """Return how many calls this share holds when nothing was asked for long."""
-        slack = SLACK_BURST_SHARE * self.tolerance.slack
+        """Return the capacity of this share's bucket."""
+        slack = SLACK_BURST_FRACTION * self.tolerance.slack
         return max(1.0, (self.limit.burst + slack) / self.limit.keepers)
 
-    def find_first_level(self) -> float:
-        """Return what the span of counting leaves beyond rate and burst."""
+    def find_initial_level(self) -> float:
+        """Return the part of the tolerance that rate and burst leave unused."""
         tolerance = self.tolerance
-        rate_left = (1.0 - OVERRUN_RATE_SHARE) * self.limit.calls_per_second
+        rate_left = (1.0 - OVERRUN_RATE_FRACTION) * self.limit.calls_per_second
         overrun = rate_left * tolerance.window_seconds + self.limit.burst
-        slack = (1.0 - SLACK_RATE_SHARE - SLACK_BURST_SHARE) * tolerance.slack
-        left = tolerance.overrun * overrun + slack
-        return max(1.0, FIRST_SHARE * left / self.limit.keepers)
+        slack = (1.0 - SLACK_RATE_FRACTION - SLACK_BURST_FRACTION) * tolerance.slack
+        unused = tolerance.overrun * overrun + slack
+        return max(1.0, INITIAL_FRACTION * unused / self.limit.keepers)
 
     def note_limit(self, limit: QuotaLimit) -> None:
-        """Take in a limit; one of an older version changes nothing."""
+        """Apply a limit, unless its version is older."""
         if limit.version < self.limit.version or limit == self.limit:
             return
         self.limit = limit
         self.bucket.refill()
-        self.bucket.change(self.find_rate(), self.find_burst())
+        self.bucket.set_rate(self.find_rate(), self.find_burst())
 
     def ask(self, begins_program: bool, patience_seconds: float = 0.0) -> QuotaGrant:
-        """Grant one call if the share has it, or has it soon enough.
+        """Grant one call if a token is available, or will be soon enough.
 
         Parameters
         ----------
         patience_seconds : float
-            How long the call may wait; one that begins a program does not.
+            How long the call may wait; ignored for a call that begins a program.
         """
         needed = 1.0
         if begins_program:
@@ -164,5 +163,5 @@
         patience_seconds = min(patience_seconds, MOST_WAIT_SECONDS)
         if wait_seconds > (0.0 if begins_program else patience_seconds):
             return QuotaGrant(False, wait_seconds, self.bucket.level)
-        self.bucket.take_ahead()
+        self.bucket.reserve()
         return QuotaGrant(True, wait_seconds, self.bucket.level)
--- a/src/cedarchute/decisions/token_bucket.py
+++ b/src/cedarchute/decisions/token_bucket.py
@@ -1,4 +1,4 @@
-"""A bucket that refills at a rate."""
+"""A token bucket."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class TokenBucket:
-    """Grants up to `burst` at once and `rate` a second in the long run.
+    """Grants up to `burst` tokens at once and `rate` a second in the long run.
 
     Parameters
     ----------
     level : float or None
-        What is there at the start; the whole burst when not given.
+        Tokens at the start; a full bucket when None.
     """
 
     def __init__(
@@ -26,38 +26,38 @@
         self.level = burst if level is None else min(burst, level)
         self.updated_at = clock.monotonic()
 
-    def change(self, rate: float, burst: float) -> None:
-        """Go on at another rate; what is there stays."""
+    def set_rate(self, rate: float, burst: float) -> None:
+        """Set the rate and burst; the level stays."""
         self.rate = rate
         self.burst = burst
 
     def refill(self) -> None:
-        """Add what the time since the last call brought."""
+        """Add the tokens of the time since the last refill."""
         now = self.clock.monotonic()
         self.level = min(self.burst, self.level + (now - self.updated_at) * self.rate)
         self.updated_at = now
 
     def take(self, amount: float = 1.0) -> bool:
-        """Take `amount` if it is there."""
+        """Take `amount` tokens if available; return whether they were."""
         self.refill()
         if self.level < amount:
             return False
         self.level -= amount
         return True
 
-    def take_ahead(self, amount: float = 1.0) -> None:
-        """Take `amount` also if it only comes later; what is left may be negative."""
+    def reserve(self, amount: float = 1.0) -> None:
+        """Take `amount` tokens even if not yet available; the level may go negative."""
         self.refill()
         self.level -= amount
 
-    def take_most(self, amount: int) -> int:
-        """Take as many whole units as are there, up to `amount`; return how many."""
+    def take_up_to(self, amount: int) -> int:
+        """Take as many whole tokens as available, up to `amount`; return how many."""
         self.refill()
         taken = max(0, min(amount, int(self.level)))
         self.level -= taken
         return taken
 
     def seconds_until(self, amount: float = 1.0) -> float:
-        """Return how long it takes until `amount` is there."""
+        """Return the seconds until `amount` tokens are available."""
         self.refill()
         return max(0.0, (amount - self.level) / self.rate)
--- a/src/cedarchute/decisions/usual_pace.py
+++ b/src/cedarchute/decisions/usual_pace.py
@@ -1,4 +1,4 @@
-"""What engines of a service take for a first event and a pause when they are calm."""
+"""Baseline times of a service's engines: to the first event, and between events."""
 
 from __future__ import annotations
 
@@ -6,69 +6,72 @@
 
 from cedarchute.record import MutableRecord
 
-# The least of many rough means lies far below what is usual: with smaller windows, calm
-# engines look slow as soon as prompts are long.
+# The baseline is a minimum of window means: with smaller windows it falls too low, and
+# unloaded engines look slow as soon as prompts are long.
 WINDOW_FIRSTS: Final = 24
-WINDOW_PAUSES: Final = 120
-# What is believed rises by this share a second: a lasting change of the engines is
-# learnt within minutes, and an overload of half a minute is not taken for usual.
-RISE_PER_SECOND: Final = 0.003
-# Shorter times are those of the way and of the box itself, not of an engine: a token
-# takes some milliseconds and an event carries several.
-LEAST_FIRST_SECONDS: Final = 0.02
-LEAST_PAUSE_SECONDS: Final = 0.01
+WINDOW_GAPS: Final = 120
+# Lets the baseline follow a lasting change of the engines within minutes, but not an
+# overload of half a minute.
+BASELINE_RISE_PER_SECOND: Final = 0.003
+# Shorter times are those of the network and the box, not of an engine.
+MIN_FIRST_EVENT_SECONDS: Final = 0.02
+MIN_GAP_SECONDS: Final = 0.01
 
 
-class PaceSums(MutableRecord):
-    """First events and pauses between events: how many, and seconds in all."""
+class LatencySums(MutableRecord):
+    """First events and gaps between events: their number and total seconds."""
 
-    firsts: float = 0.0
-    first_seconds: float = 0.0
-    pauses: float = 0.0
-    pause_seconds: float = 0.0
+    first_events: float = 0.0
+    first_event_seconds: float = 0.0
+    gaps: float = 0.0
+    gap_seconds: float = 0.0
 
     def scale(self, factor: float) -> None:
-        """Give everything counted so far less weight."""
-        self.firsts *= factor
-        self.first_seconds *= factor
-        self.pauses *= factor
-        self.pause_seconds *= factor
+        """Multiply all sums by `factor`."""
+        self.first_events *= factor
+        self.first_event_seconds *= factor
+        self.gaps *= factor
+        self.gap_seconds *= factor
 
 
 class UsualPace:
-    """The least mean of any window of samples, rising slowly.
+    """The minimum of the window means, rising slowly over time.
 
     Attributes
     ----------
-    first_seconds, pause_seconds : float or None
-        None until a window is full.
+    first_event_seconds, gap_seconds : float or None
+        None until the first window is full.
     """
 
     def __init__(self) -> None:
-        self.window = PaceSums()
-        self.first_seconds: float | None = None
-        self.pause_seconds: float | None = None
-        self.window_at = 0.0
+        self.window = LatencySums()
+        self.first_event_seconds: float | None = None
+        self.gap_seconds: float | None = None
+        self.window_started_at = 0.0
 
     @property
     def is_known(self) -> bool:
-        """Whether a window was full yet."""
-        return self.first_seconds is not None and self.pause_seconds is not None
+        """Whether a window has been full yet."""
+        return self.first_event_seconds is not None and self.gap_seconds is not None
 
-    def take_in(self, now: float) -> None:
-        """Believe the window, once it is full, and begin another."""
+    def update(self, now: float) -> None:
+        """Update the baseline from the window once it is full, and start a new one."""
         window = self.window
-        if window.firsts < WINDOW_FIRSTS or window.pauses < WINDOW_PAUSES:
+        if window.first_events < WINDOW_FIRSTS or window.gaps < WINDOW_GAPS:
             return
-        first = max(LEAST_FIRST_SECONDS, window.first_seconds / window.firsts)
-        pause = max(LEAST_PAUSE_SECONDS, window.pause_seconds / window.pauses)
-        rise = 1.0 + RISE_PER_SECOND * (now - self.window_at)
-        self.first_seconds = min_known(self.first_seconds, rise, first)
-        self.pause_seconds = min_known(self.pause_seconds, rise, pause)
-        self.window = PaceSums()
-        self.window_at = now
-
-
-def min_known(known: float | None, rise: float, seen: float) -> float:
-    """Return the lesser of what was seen and what was known, risen a little."""
-    return seen if known is None else min(known * rise, seen)
+        first_event = max(
+            MIN_FIRST_EVENT_SECONDS, window.first_event_seconds / window.first_events
+        )
+        gap = max(MIN_GAP_SECONDS, window.gap_seconds / window.gaps)
+        rise = 1.0 + BASELINE_RISE_PER_SECOND * (now - self.window_started_at)
+        self.first_event_seconds = update_baseline(
+            self.first_event_seconds, rise, first_event
+        )
+        self.gap_seconds = update_baseline(self.gap_seconds, rise, gap)
+        self.window = LatencySums()
+        self.window_started_at = now
+
+
+def update_baseline(baseline: float | None, rise: float, mean: float) -> float:
+    """Return the lesser of a window's mean and the baseline times `rise`."""
+    return mean if baseline is None else min(baseline * rise, mean)
--- a/tests/decisions/test_knowledge_age.py
+++ b/tests/decisions/test_knowledge_age.py
@@ -1,4 +1,4 @@
-"""Who asks whom about knowledge of the store that grows old."""
+"""Which box refreshes a stale view of the store, when and from where."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_the_second_reader_waits_until_the_first_should_have_told(limits):
-    age = limits.reader_seconds
+    age = limits.first_reader_seconds
     assert limits.choose_step(ReaderRank.FIRST, age) is Step.ASK_THE_STORE
     assert limits.choose_step(ReaderRank.SECOND, age) is Step.NOTHING
     age = limits.second_reader_seconds
@@ -29,7 +29,7 @@
     first = limits.find_first_seconds(ReaderRank.LISTENER)
     assert first > limits.second_reader_seconds
     assert limits.choose_step(ReaderRank.LISTENER, first) is Step.ASK_A_BOX
-    # Time for two boxes that do not answer.
+    # Leaves time for two queries that time out.
     last = first + 2 * limits.answer_seconds
     assert limits.choose_step(ReaderRank.LISTENER, last) is Step.ASK_THE_STORE
 
--- a/tests/decisions/test_pace_meter.py
+++ b/tests/decisions/test_pace_meter.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from cedarchute.decisions.pace_meter import MOST_OVERDUE, PaceMeter
+from cedarchute.decisions.pace_meter import MAX_OVERDUE_RATIO, PaceMeter
 
 TARGETS = ("a", "b", "c", "d", "e")
 
 
 def feed(meter, start, seconds, first, pause, targets=TARGETS):
-    """Let two streams run at each target; return when they ended."""
+    """Simulate two streams at each target; return the time at their end."""
     streams = targets * 2
     now = start
     while now < start + seconds:
@@ -54,8 +54,8 @@
     for _ in range(10):
         calm.begin_wait("a", 103.2)
     late = calm.list_overdue(1000.0)
-    assert late["a"] == [pytest.approx(MOST_OVERDUE * 0.03)] * 10
-    # Ten calls hang at one of five targets while the others go on as ever.
+    assert late["a"] == [pytest.approx(MAX_OVERDUE_RATIO * 0.03)] * 10
+    # Ten calls hang at one of five targets while the others are unaffected.
     now = feed(calm, 103.2, 4.0, 0.03, 0.027, targets=("b", "c", "d", "e"))
     assert calm.measure_slowdown(now) < 1.3
 
--- a/tests/decisions/test_program_admission.py
+++ b/tests/decisions/test_program_admission.py
@@ -2,10 +2,15 @@
 
 import pytest
 
-from cedarchute.decisions.aim_use import DEFAULT, WARM_SECONDS, WINDOW, AimUse
+from cedarchute.decisions.aim_use import (
+    DEFAULT_USAGE,
+    WARMUP_SECONDS,
+    WINDOW_TURNS,
+    AimUse,
+)
 from cedarchute.decisions.program_admission import (
-    LEAST_RETRY_SECONDS,
-    MOST_RETRY_SECONDS,
+    MAX_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
     STRAINED_SLOWDOWN,
     AdmissionInputs,
     decide_admission,
@@ -62,34 +67,34 @@
 def test_callers_are_told_when_to_come_back(aim):
     decision = decide(9.0, aim=aim)
     wait = decision.retry_after_seconds
-    assert LEAST_RETRY_SECONDS <= wait <= MOST_RETRY_SECONDS
+    assert MIN_RETRY_SECONDS <= wait <= MAX_RETRY_SECONDS
 
 
 def fill(use, shares, start=100.0):
     use.record_turn(start, 1.0, 0.1, 0.9)
     for share in shares:
-        use.record_turn(start + WARM_SECONDS, 1.0, share, 1.0 - share)
+        use.record_turn(start + WARMUP_SECONDS, 1.0, share, 1.0 - share)
 
 
 def test_use_is_what_programs_near_their_end_have_used():
     use = AimUse()
-    assert use.share == DEFAULT
-    fill(use, [0.6 * n / WINDOW for n in range(1, WINDOW + 1)])
+    assert use.share == DEFAULT_USAGE
+    fill(use, [0.6 * n / WINDOW_TURNS for n in range(1, WINDOW_TURNS + 1)])
     assert use.share == pytest.approx(0.5, abs=0.06)
 
 
 def test_the_first_seconds_of_a_box_tell_nothing():
     use = AimUse()
-    for number in range(5 * WINDOW):
+    for number in range(5 * WINDOW_TURNS):
         use.record_turn(100.0 + number / 100, 1.0, 0.1, 0.9)
-    assert use.share == DEFAULT
+    assert use.share == DEFAULT_USAGE
 
 
 def test_use_follows_slowly_and_bad_input_is_passed_over():
     use = AimUse()
-    fill(use, [0.3] * WINDOW)
+    fill(use, [0.3] * WINDOW_TURNS)
     assert use.share == pytest.approx(0.3)
-    fill(use, [0.9] * WINDOW)
+    fill(use, [0.9] * WINDOW_TURNS)
     assert use.share == pytest.approx(0.6)
     use.record_turn(200.0, 1.0, 0.0, 0.0)
     use.record_turn(200.0, 9.0, 0.5, 0.5)
@@ -99,6 +104,6 @@
 def test_use_is_told_for_engines_that_are_not_slowed_down():
     use = AimUse()
     use.record_turn(100.0, 1.0, 0.1, 0.9)
-    for _ in range(WINDOW):
+    for _ in range(WINDOW_TURNS):
         use.record_turn(110.0, 1.5, 0.6, 0.4)
     assert use.share == pytest.approx(0.4)
--- a/tests/decisions/test_quota_share.py
+++ b/tests/decisions/test_quota_share.py
@@ -1,4 +1,4 @@
-"""The shares of a workspace's limit, whatever becomes of their keepers."""
+"""Quota shares stay within the limit of a workspace whichever keepers fail."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
         return self.now
 
 
-def most_allowed(limit, tolerance=TOLERANCE):
+def max_allowed(limit, tolerance=TOLERANCE):
     window = limit.calls_per_second * tolerance.window_seconds + limit.burst
     return window * (1 + tolerance.overrun) + tolerance.slack
 
 
-def count_most(times, window=TOLERANCE.window_seconds):
-    """Return the most calls in any span of `window`."""
+def max_in_window(times, window=TOLERANCE.window_seconds):
+    """Return the greatest number of calls in any window."""
     first = most = 0
     for number, at in enumerate(times):
         while at - times[first] > window:
@@ -45,7 +45,7 @@
 
 
 def make_shares(limit, clock, started_at=None):
-    """Return the shares of keepers that started now, or long ago."""
+    """Return the shares of keepers started at `started_at`, by default now."""
     at = clock.now if started_at is None else started_at
     return [QuotaShare(limit, TOLERANCE, clock, at) for _ in range(KEEPERS)]
 
@@ -53,10 +53,10 @@
 steps = st.lists(
     st.tuples(
         st.floats(0.0, 0.4),  # seconds until the next call
-        st.integers(0, KEEPERS - 1),  # the keeper asked first
-        st.sets(st.integers(0, KEEPERS - 1)),  # keepers that are silent
+        st.integers(0, KEEPERS - 1),  # the first keeper requested
+        st.sets(st.integers(0, KEEPERS - 1)),  # keepers that don't respond
         st.booleans(),  # whether it begins a program
-        st.sampled_from([0.0, 0.3, 2.0]),  # how long it may wait
+        st.sampled_from([0.0, 0.3, 2.0]),  # longest wait in seconds
     ),
     min_size=1,
     max_size=400,
@@ -75,17 +75,17 @@
     limit = QuotaLimit(1, rate, burst)
     shares = make_shares(limit, clock)
     granted = []
-    for pause, first, silent, begins, patience in calls:
+    for pause, first, unresponsive, begins, max_wait in calls:
         clock.now += pause * times
         for number in range(first, first + KEEPERS):
             keeper = number % KEEPERS
-            if keeper in silent:
+            if keeper in unresponsive:
                 continue
-            grant = shares[keeper].ask(begins, patience)
+            grant = shares[keeper].ask(begins, max_wait)
             if grant.granted:
                 granted.append(clock.now + grant.wait_seconds)
                 break
-    assert count_most(sorted(granted)) <= most_allowed(limit)
+    assert max_in_window(sorted(granted)) <= max_allowed(limit)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -102,7 +102,7 @@
         for share in shares:
             if share.ask(False).granted:
                 granted.append(clock.now)
-    assert count_most(granted) <= most_allowed(limit)
+    assert max_in_window(granted) <= max_allowed(limit)
 
 
 def test_a_lower_limit_binds_within_its_window():
@@ -112,7 +112,7 @@
     clock.now = 60.0
     for share in shares:
         share.note_limit(low)
-        # A box that is behind still tells the older one.
+        # A box with an older configuration still sends the older limit.
         share.note_limit(high)
     granted = []
     while clock.now < 70.0:
@@ -120,7 +120,7 @@
         for share in shares:
             if share.ask(False).granted:
                 granted.append(clock.now)
-    assert count_most(granted) <= most_allowed(low)
+    assert max_in_window(granted) <= max_allowed(low)
     assert len(granted) > 100
 
 
@@ -133,7 +133,7 @@
         clock.now += 0.005
         if share.ask(False).granted:
             granted.append(clock.now)
-    assert count_most(granted) <= most_allowed(limit)
+    assert max_in_window(granted) <= max_allowed(limit)
     assert len(granted) > 10 * 30
 
 
@@ -152,30 +152,32 @@
 
 
 class Replay:
-    """Programs of one workspace, in virtual time, through all keepers.
+    """Simulates the programs of one workspace, with all keepers, in virtual time.
 
-    Two of five make some 22 calls, the others some nine, one about every 0.35 s.
+    Two of five programs make about 22 calls and the others about nine.
     """
 
-    def __init__(self, seed, rate, silent=()):
-        self.chance = random.Random(seed)
+    def __init__(self, seed, rate, down=()):
+        self.random_source = random.Random(seed)
         self.clock = FakeClock()
         self.limit = QuotaLimit(1, rate, rate)
         self.shares = make_shares(self.limit, self.clock, started_at=-60.0)
-        self.sound = [s for n, s in enumerate(self.shares) if n not in silent]
+        self.available = [s for n, s in enumerate(self.shares) if n not in down]
         self.granted = []
-        self.ended = self.refused = self.cut = 0
+        self.ended = self.refused = self.cut_off = 0
 
-    def play(self, hot):
-        """Play 40 s at half of the limit, from 10 s for 6.5 s `hot` times that."""
+    def run(self, load_factor):
+        """Simulate 40 s at half of the limit, with a burst at a multiple of that."""
         events = []
         at = 0.0
         while at < 40.0:
-            times = hot if 10.0 <= at < 16.5 else 1
-            at += self.chance.expovariate(0.5 * self.limit.burst / 15 * times)
-            is_long = self.chance.random() < 0.4
+            times = load_factor if 10.0 <= at < 16.5 else 1
+            at += self.random_source.expovariate(0.5 * self.limit.burst / 15 * times)
+            is_long = self.random_source.random() < 0.4
             calls = round(
-                self.chance.gauss(22, 6) if is_long else self.chance.gauss(9, 4)
+                self.random_source.gauss(22, 6)
+                if is_long
+                else self.random_source.gauss(9, 4)
             )
             calls = max(1, calls)
             heapq.heappush(events, (10.0 + at, len(events), 0, calls))
@@ -183,22 +185,22 @@
             self.clock.now, number, call, calls = heapq.heappop(events)
             if not self.ask(call == 0):
                 self.refused += call == 0
-                self.cut += call > 0
+                self.cut_off += call > 0
             elif call + 1 == calls:
                 self.ended += 1
             else:
-                then = self.clock.now + self.chance.uniform(0.1, 0.6)
+                then = self.clock.now + self.random_source.uniform(0.1, 0.6)
                 heapq.heappush(events, (then, number, call + 1, calls))
         return self
 
     def ask(self, begins):
-        order = self.chance.sample(self.sound, len(self.sound))
+        order = self.random_source.sample(self.available, len(self.available))
         for share in order:
             if share.ask(begins).granted:
                 self.granted.append(self.clock.now)
                 return True
-        soonest = min(order, key=lambda share: share.ask(begins).wait_seconds)
-        grant = soonest.ask(begins, patience_seconds=1.0)
+        earliest = min(order, key=lambda share: share.ask(begins).wait_seconds)
+        grant = earliest.ask(begins, patience_seconds=1.0)
         if grant.granted:
             self.granted.append(self.clock.now + grant.wait_seconds)
         return grant.granted
@@ -227,27 +229,27 @@
 
 @pytest.mark.parametrize("rate", [6, 10])
 def test_programs_of_a_small_workspace_end(rate):
-    replays = [Replay(seed, rate).play(hot=1) for seed in range(25)]
+    replays = [Replay(seed, rate).run(load_factor=1) for seed in range(25)]
     ended = sum(r.ended for r in replays)
-    asked = ended + sum(r.refused + r.cut for r in replays)
+    asked = ended + sum(r.refused + r.cut_off for r in replays)
     assert ended > 0.95 * asked
 
 
 @pytest.mark.parametrize("rate", [15, 95, 150])
 def test_beyond_its_limit_programs_end_or_are_refused_at_the_start(rate):
-    replays = [Replay(seed, rate).play(hot=7.5) for seed in range(6)]
-    begun = sum(r.ended + r.cut for r in replays)
-    assert sum(r.cut for r in replays) < 0.2 * begun
-    # About as many calls as the limit holds are granted.
-    hot = [at for r in replays for at in r.granted if 22.0 <= at < 26.5]
-    assert len(hot) > 0.9 * 4.5 * rate * len(replays)
+    replays = [Replay(seed, rate).run(load_factor=7.5) for seed in range(6)]
+    begun = sum(r.ended + r.cut_off for r in replays)
+    assert sum(r.cut_off for r in replays) < 0.2 * begun
+    # The granted calls use most of the limit.
+    burst_calls = [at for r in replays for at in r.granted if 22.0 <= at < 26.5]
+    assert len(burst_calls) > 0.9 * 4.5 * rate * len(replays)
     for replay in replays:
-        assert count_most(sorted(replay.granted)) <= most_allowed(replay.limit)
+        assert max_in_window(sorted(replay.granted)) <= max_allowed(replay.limit)
 
 
-@pytest.mark.parametrize("silent", [(), (1,)])
-def test_below_its_limit_a_workspace_is_served_also_with_a_keeper_lost(silent):
-    replays = [Replay(seed, 95, silent).play(hot=1) for seed in range(6)]
-    lost = sum(r.refused + r.cut for r in replays)
+@pytest.mark.parametrize("down", [(), (1,)])
+def test_below_its_limit_a_workspace_is_served_also_with_a_keeper_lost(down):
+    replays = [Replay(seed, 95, down).run(load_factor=1) for seed in range(6)]
+    lost = sum(r.refused + r.cut_off for r in replays)
     asked = sum(r.ended for r in replays) + lost
-    assert lost <= (0.05 if silent else 0.0) * asked
+    assert lost <= (0.05 if down else 0.0) * asked
