--- a/src/cedarchute/limits/__init__.py
+++ b/src/cedarchute/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of workspaces, retries and time."""
+"""Rate limits of workspaces and the retry budget."""
--- a/src/cedarchute/limits/borrow.py
+++ b/src/cedarchute/limits/borrow.py
@@ -1,4 +1,4 @@
-"""The messages by which boxes borrow calls of a workspace from its keeper."""
+"""Messages by which boxes borrow calls of a workspace from its owner."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class BorrowRequest(Message):
-    """Asks for some calls of a workspace, to be used within seconds."""
+    """Requests calls of a workspace, to be used within seconds."""
 
     workspace: str
     calls: int
 
 
 class BorrowReply(Message):
-    """How many calls are lent; they are lost when they are not used in time."""
+    """The number of calls lent; they expire if unused."""
 
     calls: int
--- a/src/cedarchute/limits/limit_borrower.py
+++ b/src/cedarchute/limits/limit_borrower.py
@@ -1,4 +1,4 @@
-"""Finds the keeper of a workspace and borrows from it."""
+"""Client side of borrowing calls from the owner of a workspace."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     from cedarchute.membership.view import View
     from cedarchute.peers.peer_client import PeerClient
 
-SECONDS_ALLOWED: Final = 1.0
+TIMEOUT_SECONDS: Final = 1.0
 
 
 class LimitBorrower:
-    """Asks the box that the ring names, which may be this one."""
+    """Borrows from the box that owns a workspace by the ring, or from this one."""
 
     def __init__(
         self, box: str, view: View, lender: LimitLender, client: PeerClient
@@ -27,24 +27,24 @@
         self.client = client
 
     def borrow(self, request: BorrowRequest) -> BorrowReply:
-        """Return what the keeper of a workspace lends.
+        """Borrow calls from the owner of a workspace.
 
         Raises
         ------
         PeerError
-            When it does not answer.
+            When the owner does not answer or its address is unknown.
         """
-        keeper = self.view.ring.find_owner(request.workspace)
-        if keeper is None or keeper == self.box:
+        owner = self.view.ring.find_owner(request.workspace)
+        if owner is None or owner == self.box:
             return self.lender.on_borrow(request)
-        record = self.view.boxes.get(keeper)
+        record = self.view.boxes.get(owner)
         if record is None:
-            raise PeerError(f"no record of {keeper}")
+            raise PeerError(f"no record of {owner}")
         return self.client.send(
             record.peer_address,
             "borrow",
             request,
             BorrowReply,
-            SECONDS_ALLOWED,
+            TIMEOUT_SECONDS,
             is_kept=False,
         )
--- a/src/cedarchute/limits/limit_lender.py
+++ b/src/cedarchute/limits/limit_lender.py
@@ -1,4 +1,4 @@
-"""Lends calls of the workspaces that this box keeps."""
+"""Server side of borrowing: lends calls of the workspaces that this box owns."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from cedarchute.decisions.token_bucket import TokenBucket
 from cedarchute.limits.borrow import BorrowReply
-from cedarchute.limits.shares import BURST_SECONDS, EVEN_SHARE
+from cedarchute.limits.rate_split import BURST_SECONDS, STATIC_SHARE
 
 if TYPE_CHECKING:
     from cedarchute.clock import Clock
@@ -16,11 +16,10 @@
 
 
 class LimitLender:
-    """Lends the part of each rate that is not dealt out evenly.
+    """Lends the part of each rate that is not split statically among the boxes.
 
-    Boxes that ask the wrong keeper for a while, when boxes come and go, get no more
-    than that part from each of two; a keeper that is lost costs them that part until
-    the ring names another, and nobody an agreement.
+    Needs no consensus on the owner: while the ring changes, two owners may lend that
+    part each, and while an owner is lost, nobody lends it.
     """
 
     def __init__(self, configuration: Configuration, clock: Clock) -> None:
@@ -29,21 +28,21 @@
         self.buckets: dict[str, TokenBucket] = {}
 
     def on_borrow(self, request: BorrowRequest) -> BorrowReply:
-        """Lend as many of the calls asked for as there are."""
+        """Lend the requested calls as far as tokens are available."""
         site = self.configuration.site
         section = site.workspaces.get(request.workspace) if site else None
         if section is None:
             return BorrowReply(calls=0)
-        rate = section.calls_per_second * (1.0 - EVEN_SHARE)
+        rate = section.calls_per_second * (1.0 - STATIC_SHARE)
         burst = max(1.0, rate * BURST_SECONDS)
         bucket = self.buckets.get(request.workspace)
         if bucket is None:
             bucket = TokenBucket(rate, burst, self.clock)
             self.buckets[request.workspace] = bucket
-        bucket.change(rate, burst)
-        return BorrowReply(calls=bucket.take_most(request.calls))
+        bucket.set_rate(rate, burst)
+        return BorrowReply(calls=bucket.take_up_to(request.calls))
 
     def on_configuration(self, accepted: AcceptedFile) -> None:
-        """Forget the workspaces that a new file no longer declares."""
-        known = accepted.site.workspaces
-        self.buckets = {n: b for n, b in self.buckets.items() if n in known}
+        """Remove workspaces that a new configuration file no longer declares."""
+        declared = accepted.site.workspaces
+        self.buckets = {n: b for n, b in self.buckets.items() if n in declared}
--- a/src/cedarchute/limits/loan.py
+++ b/src/cedarchute/limits/loan.py
@@ -7,29 +7,29 @@
 
 @dataclass
 class Loan:
-    """Calls that may be used until they run out or it is too late.
+    """Borrowed calls that may be used until they run out or expire.
 
     Attributes
     ----------
     calls : int
-        What is left of them.
-    used_since : int
-        Calls of the workspace here since the last time of asking.
-    asked_at, ends_at : float
-        Monotonic times.
-    is_asking : bool
-        Whether an answer of the keeper is awaited.
+        Calls left.
+    calls_since_request : int
+        Calls of the workspace at this box since the last request to borrow.
+    requested_at, expires_at : float
+        Monotonic times of the last request and of expiry, in seconds.
+    is_request_pending : bool
+        Whether a request to the owner is in flight.
     """
 
     calls: int = 0
-    used_since: int = 0
-    asked_at: float = float("-inf")
-    ends_at: float = float("-inf")
-    is_asking: bool = False
+    calls_since_request: int = 0
+    requested_at: float = float("-inf")
+    expires_at: float = float("-inf")
+    is_request_pending: bool = False
 
     def take(self, now: float) -> bool:
-        """Use one call if there is one that is not too late."""
-        if now >= self.ends_at:
+        """Use one call if one is left and not expired; return whether one was."""
+        if now >= self.expires_at:
             self.calls = 0
         if self.calls < 1:
             return False
--- a/src/cedarchute/limits/retry_allowance.py
+++ b/src/cedarchute/limits/retry_allowance.py
@@ -1,4 +1,4 @@
-"""Retries as a share of the traffic."""
+"""A budget that limits retries to a share of the traffic."""
 
 from __future__ import annotations
 
@@ -8,10 +8,9 @@
 
 
 class RetryAllowance:
-    """Each first try adds a share of a retry; each retry takes one whole.
+    """Each first attempt adds a share of a retry to the budget; a retry takes one.
 
-    Under overload the retries therefore never add more than that share to the
-    load, whatever fails.
+    This bounds the load that retries add under overload, whatever fails.
     """
 
     def __init__(self, share: float) -> None:
@@ -19,11 +18,11 @@
         self.level = BURST
 
     def on_first_try(self) -> None:
-        """Add the share that one first try allows."""
+        """Add the share of a first attempt to the budget."""
         self.level = min(BURST, self.level + self.share)
 
     def take(self) -> bool:
-        """Take one retry if there is one."""
+        """Take one retry from the budget; return whether one was left."""
         if self.level < 1.0:
             return False
         self.level -= 1.0
--- a/src/cedarchute/limits/workspace_limits.py
+++ b/src/cedarchute/limits/workspace_limits.py
@@ -1,4 +1,4 @@
-"""The limits of workspaces, shared out to the boxes without asking for a request."""
+"""Enforces the rate limits of workspaces without a remote call per request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cedarchute.decisions.token_bucket import TokenBucket
 from cedarchute.limits.borrow import BorrowRequest
 from cedarchute.limits.loan import Loan
-from cedarchute.limits.shares import BURST_SECONDS, EVEN_SHARE, LEAST_BURST
+from cedarchute.limits.rate_split import BURST_SECONDS, MIN_BURST, STATIC_SHARE
 from cedarchute.peers.peer_client import PeerError
 from cedarchute.problem import Problem
 
@@ -27,26 +27,26 @@
 
 log = logging.getLogger("cedarchute.limits")
 
-SPREAD_SECONDS: Final = 1.0
-LEAST_BORROWED: Final = 5
-LOW_CALLS: Final = 2
-# What a workspace used here in this time is asked for; it is lost after the other.
-NEED_SECONDS: Final = 10.0
-LOAN_SECONDS: Final = 30.0
-ASK_AGAIN_SECONDS: Final = 0.5
+RETRY_JITTER_SECONDS: Final = 1.0
+MIN_BORROWED_CALLS: Final = 5
+LOW_WATERMARK: Final = 2
+# A box borrows as many calls as a workspace used in this window.
+DEMAND_WINDOW_SECONDS: Final = 10.0
+LOAN_LIFETIME_SECONDS: Final = 30.0
+MIN_BORROW_INTERVAL_SECONDS: Final = 0.5
 
 
 class WorkspaceLimits:
-    """Gives each workspace this box's slice of its rate, and what it borrows.
+    """Admits calls by this box's part of each workspace's rate and by borrowed calls.
 
-    A share of the rate is divided evenly among the live boxes. The rest is kept by
-    one box, by the ring, and lent in bulk: a box asks before its calls run out, in
-    a task beside the requests, so no request ever waits for another box.
+    A share of the rate is split evenly among the live boxes. The rest belongs to one
+    box, by the ring, which lends it in batches: a box borrows in a background task
+    before its calls run out, so that no request waits for another box.
 
     Parameters
     ----------
     borrow : callable
-        Asks the keeper of a workspace; raises `PeerError` when it is silent.
+        Sends a request to the owner; raises `PeerError` if it does not answer.
     """
 
     def __init__(
@@ -68,12 +68,12 @@
         self.loans: dict[str, Loan] = {}
 
     def find_section(self, workspace: str) -> WorkspaceSection:
-        """Return what operators declared for `workspace`.
+        """Return the section of `workspace` in the configuration file.
 
         Raises
         ------
         Problem
-            ``unknown_workspace`` when nothing is declared.
+            ``unknown_workspace`` when it has none.
         """
         site = self.configuration.site
         section = site.workspaces.get(workspace) if site else None
@@ -87,26 +87,26 @@
         return section
 
     def admit(self, workspace: str) -> None:
-        """Take one call from what this box has of `workspace`; never waits.
+        """Take one call of `workspace` from this box's bucket or loan; never blocks.
 
         Raises
         ------
         Problem
-            ``workspace_limit`` with a time to come back that is spread by chance.
+            ``workspace_limit`` with a retry delay that includes jitter.
         """
         section = self.find_section(workspace)
         bucket = self.find_bucket(workspace, section)
         loan = self.loans.setdefault(workspace, Loan())
-        loan.used_since += 1
+        loan.calls_since_request += 1
         now = self.clock.monotonic()
         is_admitted = bucket.take() or loan.take(now)
-        if bucket.level + loan.calls < LOW_CALLS:
-            self.ask_soon(workspace, loan, now)
+        if bucket.level + loan.calls < LOW_WATERMARK:
+            self.borrow_in_background(workspace, loan, now)
         if is_admitted:
             return
         self.metrics.count_refusal("workspace_limit")
-        wait = min(bucket.seconds_until(), ASK_AGAIN_SECONDS)
-        wait += self.random_source.uniform(0, SPREAD_SECONDS)
+        wait = min(bucket.seconds_until(), MIN_BORROW_INTERVAL_SECONDS)
+        wait += self.random_source.uniform(0, RETRY_JITTER_SECONDS)
         raise Problem(
             "workspace_limit",
             f"Workspace {workspace} is over its calls a second.",
@@ -114,45 +114,53 @@
             retry_after=wait,
         )
 
-    def ask_soon(self, workspace: str, loan: Loan, now: float) -> None:
-        """Ask the keeper in a task of its own, not more often than is of use."""
-        if loan.is_asking or now - loan.asked_at < ASK_AGAIN_SECONDS:
+    def borrow_in_background(self, workspace: str, loan: Loan, now: float) -> None:
+        """Borrow in a background task, unless a request is in flight or too recent."""
+        if (
+            loan.is_request_pending
+            or now - loan.requested_at < MIN_BORROW_INTERVAL_SECONDS
+        ):
             return
-        passed = min(max(now - loan.asked_at, 1.0), NEED_SECONDS)
-        wanted = max(LEAST_BORROWED, int(loan.used_since / passed * NEED_SECONDS))
-        loan.is_asking = True
-        loan.asked_at = now
-        loan.used_since = 0
-        eventlet.spawn_n(self.ask, workspace, loan, wanted)
-
-    def ask(self, workspace: str, loan: Loan, wanted: int) -> None:
-        """Borrow calls from the keeper of a workspace."""
+        elapsed_seconds = min(max(now - loan.requested_at, 1.0), DEMAND_WINDOW_SECONDS)
+        requested_calls = max(
+            MIN_BORROWED_CALLS,
+            int(loan.calls_since_request / elapsed_seconds * DEMAND_WINDOW_SECONDS),
+        )
+        loan.is_request_pending = True
+        loan.requested_at = now
+        loan.calls_since_request = 0
+        eventlet.spawn_n(self.borrow_calls, workspace, loan, requested_calls)
+
+    def borrow_calls(self, workspace: str, loan: Loan, requested_calls: int) -> None:
+        """Borrow calls from the owner of a workspace and add them to the loan."""
         try:
-            reply = self.borrow(BorrowRequest(workspace=workspace, calls=wanted))
+            reply = self.borrow(
+                BorrowRequest(workspace=workspace, calls=requested_calls)
+            )
         except PeerError as error:
             self.metrics.count("limits.borrow_failed")
-            log.info("Nothing borrowed for %s: %s.", workspace, error)
+            log.info("Cannot borrow calls of workspace %s: %s.", workspace, error)
             return
         finally:
-            loan.is_asking = False
+            loan.is_request_pending = False
         now = self.clock.monotonic()
-        left = loan.calls if now < loan.ends_at else 0
+        left = loan.calls if now < loan.expires_at else 0
         loan.calls = left + reply.calls
-        loan.ends_at = now + LOAN_SECONDS
+        loan.expires_at = now + LOAN_LIFETIME_SECONDS
         self.metrics.count("limits.borrowed", reply.calls)
 
     def find_bucket(self, workspace: str, section: WorkspaceSection) -> TokenBucket:
-        """Return the bucket of `workspace` at the rate of its slice now."""
-        rate = section.calls_per_second * EVEN_SHARE / max(1, self.count_boxes())
-        burst = max(LEAST_BURST, rate * BURST_SECONDS)
+        """Return the bucket of `workspace`, updated to this box's current rate."""
+        rate = section.calls_per_second * STATIC_SHARE / max(1, self.count_boxes())
+        burst = max(MIN_BURST, rate * BURST_SECONDS)
         bucket = self.buckets.get(workspace)
         if bucket is None:
             bucket = self.buckets[workspace] = TokenBucket(rate, burst, self.clock)
-        bucket.change(rate, burst)
+        bucket.set_rate(rate, burst)
         return bucket
 
     def on_configuration(self, accepted: AcceptedFile) -> None:
-        """Forget the workspaces that a new file no longer declares."""
-        known = accepted.site.workspaces
-        self.buckets = {n: b for n, b in self.buckets.items() if n in known}
-        self.loans = {n: loan for n, loan in self.loans.items() if n in known}
+        """Remove workspaces that a new configuration file no longer declares."""
+        declared = accepted.site.workspaces
+        self.buckets = {n: b for n, b in self.buckets.items() if n in declared}
+        self.loans = {n: loan for n, loan in self.loans.items() if n in declared}
--- a/tests/limits/test_workspace_limits.py
+++ b/tests/limits/test_workspace_limits.py
@@ -7,7 +7,10 @@
 from fakes import StillClock
 
 from cedarchute.limits.limit_lender import LimitLender
-from cedarchute.limits.workspace_limits import ASK_AGAIN_SECONDS, WorkspaceLimits
+from cedarchute.limits.workspace_limits import (
+    MIN_BORROW_INTERVAL_SECONDS,
+    WorkspaceLimits,
+)
 from cedarchute.metrics import Metrics
 from cedarchute.operators.accepted_file import AcceptedFile
 from cedarchute.operators.configuration import Configuration
@@ -18,9 +21,9 @@
 
 
 class Boxes:
-    """Boxes that borrow from one keeper; a test passes the time."""
+    """Boxes that borrow from one owner; tests advance the clock."""
 
-    def __init__(self, count, is_keeper_silent=False):
+    def __init__(self, count, is_owner_down=False):
         self.metrics = Metrics()
         configuration = Configuration(self.metrics)
         accepted = AcceptedFile(
@@ -31,7 +34,7 @@
         lender = LimitLender(configuration, self.clock)
 
         def borrow(request):
-            if is_keeper_silent:
+            if is_owner_down:
                 raise PeerError("silent")
             return lender.on_borrow(request)
 
@@ -48,7 +51,7 @@
         ]
 
     def count_admitted(self, seconds, busy=None):
-        """Ask all the time at some boxes; return what was admitted."""
+        """Call continuously at the first `busy` boxes; return the calls admitted."""
         admitted = 0
         for _ in range(seconds * 10):
             self.clock.now += 0.1
@@ -73,7 +76,7 @@
     boxes = Boxes(count)
     boxes.count_admitted(5)
     admitted = boxes.count_admitted(40)
-    # What was lent before may be used in this time: one loan a box at most.
+    # Calls lent before may be used in this time: at most one loan per box.
     assert 0.9 * 40 * 40 <= admitted <= 40 * 40 + 5 * count
 
 
@@ -86,7 +89,7 @@
 
 
 def test_a_silent_keeper_leaves_the_even_share():
-    boxes = Boxes(4, is_keeper_silent=True)
+    boxes = Boxes(4, is_owner_down=True)
     boxes.count_admitted(5)
     assert 0.45 * 40 * 20 <= boxes.count_admitted(20) <= 0.5 * 40 * 20
     assert boxes.metrics.totals["limits.borrow_failed"] > 0
@@ -98,7 +101,7 @@
     borrow = boxes.limits[0].borrow
     boxes.limits[0].borrow = lambda request: asked.append(request) or borrow(request)
     admitted = boxes.count_admitted(30, busy=1)
-    assert len(asked) <= 30 / ASK_AGAIN_SECONDS + 1
+    assert len(asked) <= 30 / MIN_BORROW_INTERVAL_SECONDS + 1
     assert admitted / len(asked) >= 5
 
 
