--- a/src/cedarchute/routing/__init__.py
+++ b/src/cedarchute/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routes, services and targets: where a call may go, and where it goes."""
+"""Routes, services and targets, and the choice of a target for a call."""
--- a/src/cedarchute/routing/route.py
+++ b/src/cedarchute/routing/route.py
@@ -1,4 +1,4 @@
-"""One route: which calls go to which service, and how."""
+"""Routes: which calls go to which services, and how."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Repeatability(StrEnum):
-    """What may be done with a call that may have run."""
+    """Whether a call that may have run can be repeated."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -16,31 +16,32 @@
 
 
 class ServiceShare(Record):
-    """A service's share of the calls of a route, in any unit."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float
 
 
 class Route(Record):
-    """A prefix of paths of one host.
+    """A path prefix of one host and how its calls are handled.
 
     Attributes
     ----------
     max_targets : int
-        Targets that one call may run on.
+        Number of targets that one call may be attempted on.
     timeout_seconds : float
-        The longest that a call is held.
+        Timeout of a call.
     objective_seconds : float
-        The time within which an answer, or its first event, is in time.
+        Latency objective: time to the response, or to its first event.
     rank : int
-        Importance of the route; 0 goes first.
+        Priority of the route; 0 is the highest.
     keeps_turns : bool
-        Whether calls are turns that bring only their new input.
+        Whether calls are turns that send only their new input, since boxes keep the
+        earlier ones.
     keep_seconds : float
-        How long a turn is kept after its end.
+        Retention of a turn after its end.
     is_public : bool
-        Whether its calls need no key of a workspace.
+        Whether calls need no workspace key.
     """
 
     name: str
@@ -58,5 +59,5 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether answers are streams of events."""
+        """Whether responses are event streams."""
         return self.repeatability is Repeatability.STREAM
--- a/src/cedarchute/routing/route_book.py
+++ b/src/cedarchute/routing/route_book.py
@@ -1,4 +1,4 @@
-"""Holds the newest configuration; it never goes back."""
+"""Holds the newest route table; its version never decreases."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 
 
 class RouteBook:
-    """The configuration in force at this box, None before the first."""
+    """The route table in force at this box; None until the first is loaded."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
         self.table: RouteTable | None = None
-        self.first = Event()
+        self.first_loaded = Event()
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before the first."""
+        """The version in force; 0 until the first is loaded."""
         return self.table.version if self.table else 0
 
     def wait(self, seconds: float) -> RouteTable | None:
-        """Return the configuration in force; wait for the first, if need be."""
+        """Return the table in force; wait up to `seconds` for the first one."""
         if self.table is None:
             with eventlet.Timeout(seconds, False):
-                self.first.wait()
+                self.first_loaded.wait()
         return self.table
 
     def offer(self, table: RouteTable, source: str) -> bool:
-        """Put a configuration in force if it is newer; return whether it was."""
+        """Put a table in force if it is newer; return whether it was."""
         if table.version <= self.version:
             return False
         before = self.version
         self.table = table
         if not before:
-            self.first.send(None)
+            self.first_loaded.send(None)
         self.metrics.count("configuration.in_force")
         log.info(
             "Configuration in force.",
--- a/src/cedarchute/routing/route_table.py
+++ b/src/cedarchute/routing/route_table.py
@@ -1,4 +1,4 @@
-"""The configuration that calls are routed by."""
+"""The routing configuration."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class RouteTable(Record):
-    """Routes and services of one version, whole.
+    """All routes and services of one version of the configuration.
 
     Attributes
     ----------
     keys : WorkspaceKeys or None
-        Whose calls may pass; None where calls need no key.
+        Keys by which calls are admitted; None where calls need no key.
     """
 
     version: int
--- a/src/cedarchute/routing/service.py
+++ b/src/cedarchute/routing/service.py
@@ -1,4 +1,4 @@
-"""One service that routes lead to."""
+"""Services, the destinations of routes."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class EngineTraits(Record):
-    """What all engines of a model service have in common.
+    """Properties shared by all engines of a model service.
 
     Attributes
     ----------
     slots : int
-        Requests that run at once.
+        Requests that one engine runs concurrently.
     cache_tokens : int
-        Tokens that the memory of one engine holds.
+        Tokens that the cache of one engine holds.
     event_tokens : int
-        Tokens that one event of a stream carries.
+        Tokens per event of a stream.
     """
 
     slots: int
@@ -24,7 +24,7 @@
 
 
 class Service(Record):
-    """A set of like targets; `engine` is None for plain services."""
+    """A set of equivalent targets; `engine` is None for plain services."""
 
     name: str
     max_connections: int
--- a/src/cedarchute/routing/target_choice.py
+++ b/src/cedarchute/routing/target_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the target of a call."""
+"""Selects the target of a call."""
 
 from __future__ import annotations
 
@@ -17,114 +17,117 @@
     from cedarchute.routing.target_registry import TargetRegistry
 
 
-# A target in another failure domain has to be this much better: the way there costs
-# a few milliseconds, and bytes between domains cost money.
-OTHER_DOMAIN_FACTOR: Final = 1.5
-# A target without an open connection has to be this much better: a new connection
-# takes a round trip and a slot, and costs money.
-COLD_FACTOR: Final = 1.4
-# A target that failed every second call lately is as good as one six times as slow: a
-# failed call costs a whole new try, or its program.
+# Penalty for a target in another failure domain: calls there take longer, and traffic
+# between domains is billed.
+CROSS_DOMAIN_FACTOR: Final = 1.5
+# Penalty for a target without an open connection: a new one takes a round trip and a
+# slot, and is billed.
+NO_CONNECTION_FACTOR: Final = 1.4
+# Penalty for failures, since a failed call costs a retry or its whole program. A target
+# that fails every second call counts like one six times as slow.
 FAILURE_WEIGHT: Final = 10.0
-# Counted on top of what answers take, so that none counts as nothing.
-LEAST_SECONDS: Final = 0.01
-# Targets of one service differ by a few times in size. One whose entry claims far more
-# slots than the middle one would draw every call.
-MOST_SLOTS_FACTOR: Final = 8
+# Added to response times, so that the load still counts where they are near zero.
+MIN_LATENCY_SECONDS: Final = 0.01
+# Caps the slots of a target relative to the median, so that an entry that claims far
+# too many doesn't attract every call.
+MAX_SLOTS_FACTOR: Final = 8
 
 
-def find_middle_slots(entries: list[TargetEntry]) -> int:
-    """Return the slots of the target in the middle by slots."""
+def find_median_slots(entries: list[TargetEntry]) -> int:
+    """Return the median number of slots."""
     slots = sorted(entry.slots for entry in entries)
     return slots[(len(slots) - 1) // 2]
 
 
 class TargetChoice:
-    """Least expected wait, from what this box has under way and has seen."""
+    """Selects the target with the least expected wait, as observed by this box."""
 
     def __init__(
         self,
         registry: TargetRegistry,
         failure_domain: str,
-        chance: random.Random,
-        is_warm: Callable[[Address], bool],
+        random_source: random.Random,
+        has_connection: Callable[[Address], bool],
     ) -> None:
-        self.is_warm = is_warm
+        self.has_connection = has_connection
         self.registry = registry
         self.failure_domain = failure_domain
-        self.chance = chance
+        self.random_source = random_source
         self.loads: defaultdict[str, TargetLoad] = defaultdict(TargetLoad)
 
     def choose_service(self, route: Route) -> str:
-        """Return a service of a route, by chance in proportion to the shares."""
+        """Return a random service of a route, weighted by the shares."""
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
-        return self.chance.choices(route.shares, weights)[0].service
+        return self.random_source.choices(route.shares, weights)[0].service
 
     def choose(
         self, service: str, tried: set[str], preferred: str = ""
     ) -> TargetEntry | None:
-        """Return a target that was not tried yet, or None when there is none.
+        """Return a target that was not tried yet, or None if there is none.
 
         Parameters
         ----------
         preferred : str
-            The start of a target that holds what the call goes on from, if any.
+            Incarnation of the target that caches the prompt of the call, if any.
         """
         ready = [e for e in self.registry.list_ready(service) if e.id not in tried]
-        sound = [e for e in ready if not self.loads[e.start].is_paused]
-        for entry in sound:
-            if entry.start == preferred and self.has_room(entry):
+        available = [e for e in ready if not self.loads[e.start].is_backing_off]
+        for entry in available:
+            if entry.start == preferred and self.has_capacity(entry):
                 return entry
-        candidates = sound or ready
+        candidates = available or ready
         if not candidates:
             return None
-        usual = self.find_usual_seconds(candidates)
-        most_slots = MOST_SLOTS_FACTOR * find_middle_slots(candidates)
+        default_seconds = self.find_mean_latency(candidates)
+        max_slots = MAX_SLOTS_FACTOR * find_median_slots(candidates)
         return min(
-            candidates, key=lambda entry: self.estimate(entry, usual, most_slots)
+            candidates,
+            key=lambda entry: self.estimate_wait(entry, default_seconds, max_slots),
         )
 
-    def find_usual_seconds(self, entries: list[TargetEntry]) -> float:
-        """Return what answers of targets take on average, 0 when none is known.
+    def find_mean_latency(self, entries: list[TargetEntry]) -> float:
+        """Return the mean response time of targets, 0 if none is known.
 
-        A target that was not used yet is expected to be like the others: were it
-        better, each box would open a connection to every target.
+        A target without samples is given this mean: with a better value, each box
+        would open a connection to every target.
         """
         known = [self.loads[entry.start].seconds for entry in entries]
         seconds = [value for value in known if value is not None]
         return sum(seconds) / len(seconds) if seconds else 0.0
 
     def forget_gone(self) -> None:
-        """Forget what was learnt of starts of targets that are over."""
+        """Remove the loads of target incarnations that are gone and have no calls."""
         known = {entry.start for entry in self.registry.known.entries.values()}
         for start in [start for start in self.loads if start not in known]:
             if not self.loads[start].active:
                 del self.loads[start]
 
-    def has_room(self, entry: TargetEntry) -> bool:
-        """Whether a target has slots left, as far as this box's own calls tell."""
+    def has_capacity(self, entry: TargetEntry) -> bool:
+        """Return whether a target has free slots, counting this box's calls only."""
         return self.loads[entry.start].active < entry.slots
 
-    def estimate(
-        self, entry: TargetEntry, usual: float, most_slots: int
+    def estimate_wait(
+        self, entry: TargetEntry, default_seconds: float, max_slots: int
     ) -> tuple[float, float]:
-        """Return the expected wait at a target, ties broken by chance.
+        """Return the expected wait at a target, ties broken at random.
 
         Parameters
         ----------
-        usual : float
-            What answers are expected to take where none was seen, in seconds.
-        most_slots : int
-            Slots beyond these count as these.
+        default_seconds : float
+            Response time of a target without samples.
+        max_slots : int
+            Cap on the slots of a target.
         """
         load = self.loads[entry.start]
-        seconds = LEAST_SECONDS + (usual if load.seconds is None else load.seconds)
-        wait = (load.active + 1) / min(entry.slots, most_slots) * seconds
+        seconds = MIN_LATENCY_SECONDS + (
+            default_seconds if load.seconds is None else load.seconds
+        )
+        wait = (load.active + 1) / min(entry.slots, max_slots) * seconds
         wait *= 1.0 + FAILURE_WEIGHT * load.failure_share
         if entry.failure_domain != self.failure_domain:
-            wait *= OTHER_DOMAIN_FACTOR
-        if not self.is_warm(entry.address):
-            wait *= COLD_FACTOR
-        return wait, self.chance.random()
+            wait *= CROSS_DOMAIN_FACTOR
+        if not self.has_connection(entry.address):
+            wait *= NO_CONNECTION_FACTOR
+        return wait, self.random_source.random()
--- a/src/cedarchute/routing/target_entry.py
+++ b/src/cedarchute/routing/target_entry.py
@@ -1,4 +1,4 @@
-"""A target as the registry knows it."""
+"""Registry entries of targets."""
 
 from __future__ import annotations
 
@@ -12,21 +12,20 @@
 
 
 class TargetEntry(Record, dict=True):
-    """One start of a target; it may start again under its id.
+    """One incarnation of a target, which may restart under the same id.
 
     Attributes
     ----------
     id : str
-        Names the target; an address may be handed on to another target.
+        Identifies the target; its address may be reused by another one.
     ready : bool
-        Whether it takes new work; a target that is leaving does not.
+        Whether it accepts new calls; false while it is leaving.
     slots : int
-        Requests that it works on at once.
+        Requests that it runs concurrently.
     cold_seconds : float
-        How long it stays slow, from its start.
+        Duration of its warm-up, from its start.
     born_ms : int
-        When it started, by its own clock, which may differ from all others: Unix
-        milliseconds; 0 when the entry does not tell.
+        Start time by the target's own clock, in Unix milliseconds; 0 if unknown.
     """
 
     id: str
@@ -40,5 +39,5 @@
 
     @cached_property
     def start(self) -> str:
-        """Names this start of the target: what it holds is gone with it."""
+        """Id of this incarnation; its state is lost when the target restarts."""
         return f"{self.id}@{self.born_ms}" if self.born_ms else self.id
--- a/src/cedarchute/routing/target_load.py
+++ b/src/cedarchute/routing/target_load.py
@@ -1,26 +1,26 @@
-"""What this box knows of one target from its own traffic."""
+"""Load and latency of one target, as observed by this box."""
 
 from __future__ import annotations
 
 import time
 from typing import Final
 
-# Weight of the newest answer in the mean; about the last ten answers count.
-NEWEST_WEIGHT: Final = 0.15
-# A target that failed is left alone for this long, doubled with each failure in a
-# row: long enough for a restart to show in the registry, short for a lost packet.
-FIRST_PAUSE_SECONDS: Final = 0.5
-LONGEST_PAUSE_SECONDS: Final = 4.0
+# Weight of the newest sample in the moving averages, which cover about ten samples.
+EWMA_WEIGHT: Final = 0.15
+# Backoff after a failure, doubled with each consecutive one: long enough for a restart
+# to show in the registry, short after a lost packet.
+INITIAL_BACKOFF_SECONDS: Final = 0.5
+MAX_BACKOFF_SECONDS: Final = 4.0
 
 
 class TargetLoad:
-    """Calls under way, how long answers take, and how often they fail.
+    """Calls in flight at a target, its response time and its failure rate.
 
     Attributes
     ----------
     failure_share : float
-        Share of the last ten calls or so that failed without an answer. A target may
-        fail part of its calls while its health is good.
+        Moving average of the share of calls that failed without a response. A target
+        may fail some calls while its health checks pass.
     """
 
     def __init__(self) -> None:
@@ -28,30 +28,30 @@
         self.seconds: float | None = None
         self.failures = 0
         self.failure_share = 0.0
-        self.paused_until = 0.0
+        self.backoff_until = 0.0
 
     @property
-    def is_paused(self) -> bool:
-        """Whether the target failed a moment ago."""
-        return time.monotonic() < self.paused_until
+    def is_backing_off(self) -> bool:
+        """Whether the target is in backoff after a failure or an overload."""
+        return time.monotonic() < self.backoff_until
 
     def record_answer(self, seconds: float) -> None:
-        """Take in an answer and how long it took."""
+        """Record a response and the time that it took."""
         self.failures = 0
-        self.paused_until = 0.0
-        self.failure_share -= NEWEST_WEIGHT * self.failure_share
+        self.backoff_until = 0.0
+        self.failure_share -= EWMA_WEIGHT * self.failure_share
         if self.seconds is None:
             self.seconds = seconds
         else:
-            self.seconds += NEWEST_WEIGHT * (seconds - self.seconds)
+            self.seconds += EWMA_WEIGHT * (seconds - self.seconds)
 
     def record_failure(self) -> None:
-        """Take in that the target failed without an answer."""
-        pause = FIRST_PAUSE_SECONDS * 2**self.failures
+        """Record a call that failed without a response."""
+        backoff = INITIAL_BACKOFF_SECONDS * 2**self.failures
         self.failures = min(self.failures + 1, 8)
-        self.failure_share += NEWEST_WEIGHT * (1.0 - self.failure_share)
-        self.paused_until = time.monotonic() + min(pause, LONGEST_PAUSE_SECONDS)
+        self.failure_share += EWMA_WEIGHT * (1.0 - self.failure_share)
+        self.backoff_until = time.monotonic() + min(backoff, MAX_BACKOFF_SECONDS)
 
     def record_full(self, seconds: float) -> None:
-        """Take in that the target refused for want of room."""
-        self.paused_until = max(self.paused_until, time.monotonic() + seconds)
+        """Record that the target refused a call because it is at capacity."""
+        self.backoff_until = max(self.backoff_until, time.monotonic() + seconds)
--- a/src/cedarchute/routing/target_registry.py
+++ b/src/cedarchute/routing/target_registry.py
@@ -1,4 +1,4 @@
-"""The targets that may be used now."""
+"""The registry of targets that can be used."""
 
 from __future__ import annotations
 
@@ -19,56 +19,55 @@
 
 log = logging.getLogger("cedarchute.routing")
 
-# A write of an earlier start may take effect some seconds after the target started
-# again. What still stands there after this long is the target as it is: its clock was
-# set back between two starts. Shorter than the time that a leaving target goes on
-# serving, so that it gets nothing new then.
-HOLD_BACK_SECONDS: Final = 3.0
-# Targets whose last start is remembered after their entries are gone.
-MOST_REMEMBERED: Final = 4096
+# A write of an earlier incarnation may take effect seconds after a restart. An entry
+# that is still there after this time is valid: the target's clock was set back. Shorter
+# than the time for which a leaving target keeps serving, so that it gets no new calls.
+DEFERRAL_SECONDS: Final = 3.0
+# Targets whose last start time is remembered after their entries are gone.
+MAX_REMEMBERED: Final = 4096
 
 
 class TargetRegistry:
-    """Follows the entries of targets; tells `on_gone` of starts that are over.
+    """Tracks the entries of targets; calls `on_gone` for incarnations that are gone.
 
     Parameters
     ----------
-    is_own : callable
-        Whether an address is that of a box of ours: a call sent there would go round.
+    is_box_address : callable
+        Whether an address is that of one of our boxes; a call sent there would loop.
     """
 
     def __init__(
         self,
         on_gone: Callable[[TargetEntry], None],
-        is_own: Callable[[Address], bool] = lambda address: False,
+        is_box_address: Callable[[Address], bool] = lambda address: False,
     ) -> None:
         self.on_gone = on_gone
-        self.is_own = is_own
-        self.known: LapsingEntries[TargetEntry] = LapsingEntries(self.note_gone)
-        self.newest_born_ms: OrderedDict[str, int] = OrderedDict()
-        self.held_back: dict[str, tuple[TargetEntry, float]] = {}
+        self.is_box_address = is_box_address
+        self.known: LapsingEntries[TargetEntry] = LapsingEntries(self.handle_gone)
+        self.newest_start_ms: OrderedDict[str, int] = OrderedDict()
+        self.deferred: dict[str, tuple[TargetEntry, float]] = {}
 
     def list_ready(self, service: str) -> list[TargetEntry]:
-        """Return the targets of `service` that take new work."""
+        """Return the targets of `service` that accept new calls."""
         entries = self.known.entries.values()
         ready = [e for e in entries if e.service == service and e.ready]
-        return [entry for entry in ready if not self.is_own(entry.address)]
+        return [entry for entry in ready if not self.is_box_address(entry.address)]
 
     def put(self, entry: TargetEntry) -> None:
-        """Take in an entry; one of an earlier start is held back.
+        """Apply an entry; defer one of an earlier incarnation.
 
-        A write of an earlier start that comes late would lead every call to a process
-        that is gone.
+        A late write of an earlier incarnation would route calls to a process that is
+        gone.
         """
-        self.held_back.pop(entry.id, None)
-        newest = self.newest_born_ms.get(entry.id, 0)
+        self.deferred.pop(entry.id, None)
+        newest = self.newest_start_ms.get(entry.id, 0)
         if entry.born_ms >= newest:
-            self.take_in(entry)
+            self.apply(entry)
             return
-        until = time.monotonic() + HOLD_BACK_SECONDS
-        self.held_back[entry.id] = (entry, until)
+        until = time.monotonic() + DEFERRAL_SECONDS
+        self.deferred[entry.id] = (entry, until)
         log.info(
-            "Target's entry held back.",
+            "Target's entry deferred.",
             extra={
                 "target": entry.id,
                 "born_ms": entry.born_ms,
@@ -76,9 +75,9 @@
             },
         )
 
-    def take_in(self, entry: TargetEntry) -> None:
-        """Use an entry from now on."""
-        self.remember_born(entry)
+    def apply(self, entry: TargetEntry) -> None:
+        """Put an entry into use and log what changed."""
+        self.record_start(entry)
         before = self.known.put(entry.id, entry)
         if before is not None and before.start != entry.start:
             log.info(
@@ -97,36 +96,36 @@
         if not entry.ready:
             self.on_gone(entry)
 
-    def remember_born(self, entry: TargetEntry) -> None:
-        """Remember the start of a target, also beyond the end of its entry."""
-        self.newest_born_ms[entry.id] = entry.born_ms
-        self.newest_born_ms.move_to_end(entry.id)
-        if len(self.newest_born_ms) > MOST_REMEMBERED:
-            self.newest_born_ms.popitem(last=False)
+    def record_start(self, entry: TargetEntry) -> None:
+        """Record the start time of a target, which is kept after its entry is gone."""
+        self.newest_start_ms[entry.id] = entry.born_ms
+        self.newest_start_ms.move_to_end(entry.id)
+        if len(self.newest_start_ms) > MAX_REMEMBERED:
+            self.newest_start_ms.popitem(last=False)
 
     def suspend(self, target: str) -> None:
-        """Give a target nothing new: its entry cannot be read."""
-        self.held_back.pop(target, None)
+        """Mark a target as not ready, since its entry can't be parsed."""
+        self.deferred.pop(target, None)
         known = self.known.entries.get(target)
         if known is not None and known.ready:
-            self.take_in(replace(known, ready=False))
+            self.apply(replace(known, ready=False))
 
     def remove(self, target: str) -> None:
-        """Take in that an entry is gone."""
-        self.held_back.pop(target, None)
+        """Record that an entry was removed."""
+        self.deferred.pop(target, None)
         if not self.known.remove(target):
             log.info("Target's entry lapsed.", extra={"target": target})
 
     def expire(self) -> None:
-        """Drop entries that did not come back; use those held back for long enough."""
+        """Remove entries that have expired, and apply deferred ones that are due."""
         self.known.expire()
         now = time.monotonic()
-        due = [entry for entry, until in self.held_back.values() if until <= now]
+        due = [entry for entry, until in self.deferred.values() if until <= now]
         for entry in due:
-            del self.held_back[entry.id]
-            self.take_in(entry)
+            del self.deferred[entry.id]
+            self.apply(entry)
 
-    def note_gone(self, entry: TargetEntry) -> None:
-        """Log that a target is used no more, and pass it on."""
+    def handle_gone(self, entry: TargetEntry) -> None:
+        """Log that a target is gone and call `on_gone`."""
         log.info("Target is gone.", extra={"target": entry.id})
         self.on_gone(entry)
--- a/src/cedarchute/routing/workspace.py
+++ b/src/cedarchute/routing/workspace.py
@@ -1,4 +1,4 @@
-"""A workspace that operators declared: how important it is, and how much it may ask."""
+"""Workspaces declared by operators, with their priority and rate limit."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class Workspace(Record):
-    """One customer's calls, told apart by the keys that they carry.
+    """A customer, whose calls are identified by the keys that they carry.
 
     Attributes
     ----------
     rank : int
-        Importance of its calls; 0 goes first, and it goes before a route's rank.
+        Priority of its calls; 0 is the highest. Takes precedence over a route's rank.
     calls_per_second, burst : float
-        Calls that all boxes together let through in the long run, and how many beyond
-        that at once; without a rate there is no limit.
+        Long-term rate across all boxes, and the calls at once beyond it; a rate of 0
+        means no limit.
     """
 
     name: str
@@ -24,5 +24,5 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether its calls are counted."""
+        """Whether its calls are rate limited."""
         return self.calls_per_second > 0
--- a/src/cedarchute/routing/workspace_keys.py
+++ b/src/cedarchute/routing/workspace_keys.py
@@ -1,4 +1,4 @@
-"""The keys of workspaces, kept as digests."""
+"""The keys of workspaces, stored as digests."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     from cedarchute.routing.workspace import Workspace
 
 DIGEST_BYTES: Final = 16
-# Drawn at each start: a digest that shows up somewhere cannot be tried out elsewhere.
+# Random for each process, so that a leaked digest can't be attacked offline.
 _SECRET: Final = secrets.token_bytes(DIGEST_BYTES)
 
 
 class ContradictoryKeysError(ValueError):
-    """Keys that don't say whose a call is; names workspaces, never a key."""
+    """Keys that don't identify one workspace; the message never contains a key."""
 
     code = "contradictory_keys"
 
 
 def digest_key(key: bytes) -> bytes:
-    """Return what a key is compared by."""
+    """Return the keyed digest by which a key is looked up."""
     return blake2b(key, digest_size=DIGEST_BYTES, key=_SECRET).digest()
 
 
 class WorkspaceKeys:
-    """Finds the workspace that holds a key; the keys themselves are not kept."""
+    """Maps digests of keys to workspaces; the keys themselves are not stored."""
 
     def __init__(self, keys: Iterable[tuple[Workspace, tuple[str, ...]]]) -> None:
         self.workspaces: dict[str, Workspace] = {}
@@ -43,7 +43,7 @@
         self.ranks = frozenset(w.rank for w in self.workspaces.values())
 
     def add(self, workspace: Workspace, text: str) -> None:
-        """Take in a key; raise `ContradictoryKeysError` if it is another one's too."""
+        """Add a key; raise `ContradictoryKeysError` if another workspace has it too."""
         if not text:
             raise ContradictoryKeysError(f"an empty key of {workspace.name!r}")
         digest = digest_key(text.encode())
@@ -53,5 +53,5 @@
             raise ContradictoryKeysError(f"one key belongs to {names}")
 
     def find(self, digest: bytes) -> Workspace | None:
-        """Return the workspace that holds the key with this digest, or None."""
+        """Return the workspace of the key with this digest, or None."""
         return self.by_digest.get(digest)
--- a/tests/platform_site/test_other_writers.py
+++ b/tests/platform_site/test_other_writers.py
@@ -125,7 +125,7 @@
     assert call(address, b"/once/x", b"id-1")[0] == 200
     assert len(moved.requests) == 1
     own_nodes.write_target("t-sound", "plain", target.address, "ready", born_ms=1000)
-    wait_logged(own_nodes, "Target's entry held back.", "t-sound")
+    wait_logged(own_nodes, "Target's entry deferred.", "t-sound")
     assert call(address, b"/once/x", b"id-2")[0] == 200
     assert len(moved.requests) == 2
     moved.close()
--- a/tests/routing/test_target_choice.py
+++ b/tests/routing/test_target_choice.py
@@ -14,11 +14,11 @@
     return TargetEntry(name, service, address, domain, ready, slots)
 
 
-def make_choice(*entries, warm=()):
+def make_choice(*entries, connected=()):
     registry = TargetRegistry(lambda entry: None)
     for entry in entries:
         registry.put(entry)
-    return TargetChoice(registry, "a", random.Random(7), warm.__contains__)
+    return TargetChoice(registry, "a", random.Random(7), connected.__contains__)
 
 
 def test_the_least_busy_target_is_chosen():
@@ -36,7 +36,7 @@
 
 def test_a_target_with_an_open_connection_is_chosen_among_equals():
     cold, warm = make_entry("cold", port=81), make_entry("warm", port=82)
-    choice = make_choice(cold, warm, warm=(warm.address,))
+    choice = make_choice(cold, warm, connected=(warm.address,))
     assert {choice.choose("s", set()).id for _ in range(20)} == {"warm"}
     choice.loads["warm"].active = 2
     assert choice.choose("s", set()).id == "cold"
@@ -63,7 +63,7 @@
     assert choice.choose("s", set()).id == "t-2"
     assert choice.choose("s", {"t-2"}).id == "t-1"
     choice.loads["t-1"].record_answer(0.1)
-    assert not choice.loads["t-1"].is_paused
+    assert not choice.loads["t-1"].is_backing_off
 
 
 def test_a_split_route_shares_calls_out_by_weight():
@@ -80,7 +80,7 @@
         choice.loads["grey"].record_failure()
         choice.loads["grey"].record_answer(0.1)
         choice.loads["sound"].record_answer(0.1)
-    assert not choice.loads["grey"].is_paused
+    assert not choice.loads["grey"].is_backing_off
     choice.loads["sound"].active = 2
     assert choice.choose("s", set()).id == "sound"
     for _ in range(60):
@@ -90,7 +90,7 @@
 
 def test_a_target_not_used_yet_is_expected_to_be_like_the_others():
     used, unused = make_entry("used", port=81), make_entry("unused", port=82)
-    choice = make_choice(used, unused, warm=(used.address,))
+    choice = make_choice(used, unused, connected=(used.address,))
     choice.loads["used"].record_answer(0.25)
     assert {choice.choose("s", set()).id for _ in range(20)} == {"used"}
     choice.loads["used"].active = 1
--- a/tests/routing/test_target_registry.py
+++ b/tests/routing/test_target_registry.py
@@ -1,4 +1,4 @@
-"""Starts of a target under one id."""
+"""Incarnations of a target under one id."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cedarchute.routing import target_registry
 from cedarchute.routing.target_choice import TargetChoice
 from cedarchute.routing.target_entry import TargetEntry
-from cedarchute.routing.target_registry import HOLD_BACK_SECONDS, TargetRegistry
+from cedarchute.routing.target_registry import DEFERRAL_SECONDS, TargetRegistry
 
 OLD = TargetEntry("i-1", "s", Address("10.0.0.1", 80), "a", True, 8, born_ms=1000)
 NEW = replace(OLD, address=Address("10.0.0.2", 80), born_ms=2000)
@@ -63,7 +63,7 @@
     registry.put(OLD)
     assert ready_starts(registry) == []
     registry.remove("i-1")
-    clock.now += HOLD_BACK_SECONDS
+    clock.now += DEFERRAL_SECONDS
     registry.expire()
     assert ready_starts(registry) == []
 
@@ -71,7 +71,7 @@
 def test_a_target_whose_clock_was_set_back_is_used_after_a_while(registry, clock):
     registry.put(NEW)
     registry.put(OLD)
-    clock.now += HOLD_BACK_SECONDS
+    clock.now += DEFERRAL_SECONDS
     registry.expire()
     assert ready_starts(registry) == ["i-1@1000"]
 
@@ -93,7 +93,7 @@
     choice.loads["i-2@1000"].record_answer(0.2)
     registry.put(NEW)
     assert choice.loads[NEW.start].active == 0
-    assert not choice.loads[NEW.start].is_paused
+    assert not choice.loads[NEW.start].is_backing_off
     load.active = 0
     choice.forget_gone()
     assert OLD.start not in choice.loads
