--- a/src/cedarchute/decisions/usual_pace.py
+++ b/src/cedarchute/decisions/baseline_latency.py
@@ -8,7 +8,7 @@
 
 # The baseline is a minimum of window means: with smaller windows it falls too low, and
 # unloaded engines look slow as soon as prompts are long.
-WINDOW_FIRSTS: Final = 24
+WINDOW_FIRST_EVENTS: Final = 24
 WINDOW_GAPS: Final = 120
 # Lets the baseline follow a lasting change of the engines within minutes, but not an
 # overload of half a minute.
@@ -34,7 +34,7 @@
         self.gap_seconds *= factor
 
 
-class UsualPace:
+class BaselineLatency:
     """The minimum of the window means, rising slowly over time.
 
     Attributes
@@ -57,7 +57,7 @@
     def update(self, now: float) -> None:
         """Update the baseline from the window once it is full, and start a new one."""
         window = self.window
-        if window.first_events < WINDOW_FIRSTS or window.gaps < WINDOW_GAPS:
+        if window.first_events < WINDOW_FIRST_EVENTS or window.gaps < WINDOW_GAPS:
             return
         first_event = max(
             MIN_FIRST_EVENT_SECONDS, window.first_event_seconds / window.first_events
--- a/src/cedarchute/decisions/aim_use.py
+++ b/src/cedarchute/decisions/deadline_usage.py
@@ -1,8 +1,8 @@
-"""Share of their time budget that programs of a route use on unloaded engines.
+"""Share of their soft deadline that programs of a route use on unloaded engines.
 
-Callers set budgets of different length. Where budgets are long, a burst can be admitted
-and slowed down; where they are short, it has to be shed early. A box learns which case
-applies from the programs whose turns it sees end.
+Callers set soft deadlines of different length. Where they are long, a burst can be
+admitted and slowed down; where they are short, it has to be shed early. A box learns
+which case applies from the programs whose turns it sees end.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 MIN_USAGE: Final = 0.1
 
 
-class AimUse:
-    """Estimates the share of their time budget that programs have used at their end.
+class DeadlineUsage:
+    """Estimates the share of their soft deadline that programs have used at their end.
 
     Attributes
     ----------
     share : float
-        Time used at the end of a program, as a share of its time budget.
+        Time used at the end of a program, as a share of its soft deadline.
     """
 
     def __init__(self) -> None:
@@ -53,16 +53,17 @@
         slowdown : float
             Current latency of calls relative to the baseline.
         used_seconds, left_seconds : float
-            Time since the program was first requested, and time left in its budget.
+            Time since the program was first requested, and time left until its soft
+            deadline.
         """
-        budget_seconds = used_seconds + left_seconds
+        deadline_seconds = used_seconds + left_seconds
         if self.first_turn_at is None:
             self.first_turn_at = now
         is_warm = now - self.first_turn_at >= WARMUP_SECONDS
-        if budget_seconds <= 0 or not is_warm or slowdown > MAX_SLOWDOWN:
+        if deadline_seconds <= 0 or not is_warm or slowdown > MAX_SLOWDOWN:
             return
         unloaded_seconds = used_seconds / max(1.0, slowdown)
-        self.window.append(min(MAX_USAGE, unloaded_seconds / budget_seconds))
+        self.window.append(min(MAX_USAGE, unloaded_seconds / deadline_seconds))
         if len(self.window) >= WINDOW_TURNS:
             self.fold_window()
 
--- a/src/cedarchute/decisions/key_trust.py
+++ b/src/cedarchute/decisions/proof_age_limit.py
@@ -1,8 +1,8 @@
 """How long a box may admit calls by the workspace keys that it knows.
 
 A box that is partitioned, frozen or behind can't know that a key was revoked. It
-therefore admits calls only while it holds a recent proof that its configuration was the
-newest.
+therefore admits calls only while it holds a recent freshness proof: evidence that its
+configuration was the newest.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 UNKNOWN_AGE_SECONDS: Final = 1e6
 
 
-def tell_age(age_seconds: float) -> float:
-    """Return the age of a proof, rounded and capped, for logs and metrics."""
+def cap_age(age_seconds: float) -> float:
+    """Return the age of a freshness proof, rounded and capped, for logs and metrics."""
     return round(min(age_seconds, UNKNOWN_AGE_SECONDS), 3)
 
 
-class KeyTrust:
-    """The greatest age of a proof by which calls are admitted.
+class ProofAgeLimit:
+    """The greatest age of a freshness proof by which calls are admitted.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
         if revoke_seconds > 0:
             self.max_age_seconds = max(0.0, revoke_seconds - MARGIN_SECONDS)
 
-    def covers(self, age_seconds: float) -> bool:
+    def accepts(self, age_seconds: float) -> bool:
         """Return whether a proof of this age is recent enough."""
         return age_seconds < self.max_age_seconds or self.is_unbounded
 
--- a/src/cedarchute/decisions/quota_share.py
+++ b/src/cedarchute/decisions/quota_share.py
@@ -1,12 +1,12 @@
-"""One keeper's share of the calls that a workspace may make.
+"""One quota server's share of the calls that a workspace may make.
 
-The calls of a workspace arrive at any box. Its limit is split among a few keepers, each
-of which grants calls from its own share alone: the sum stays within the limit whichever
-of them fail or are partitioned, and they need no consensus. A call that one keeper
-refuses is requested from the next, so together the shares act like one token bucket.
+The calls of a workspace arrive at any box. Its limit is split among a few quota
+servers, each of which grants calls from its own share alone: the sum stays within the
+limit whichever of them fail or are partitioned, and they need no consensus. A call that
+one server rejects is requested from the next, so the shares act like one token bucket.
 
 Over the limit, calls of programs under way wait briefly for the next token, and new
-programs are refused: a program that is cut off midway has wasted its calls.
+programs are rejected: a program that is cut off midway has wasted its calls.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 # workspace would be less than one call.
 KEEPERS: Final = 3
 # Fraction of a share that is reserved for programs under way; with more, programs are
-# refused at their start below the limit.
+# rejected at their start below the limit.
 START_RESERVE: Final = 0.15
-# Longest wait for a token, short relative to the time budget of a program.
-MOST_WAIT_SECONDS: Final = 1.0
+# Longest wait for a token, short relative to the soft deadline of a program.
+MAX_WAIT_SECONDS: Final = 1.0
 # Fractions of the tolerance by which limits are raised, since a small workspace needs
-# room for whole programs at once. The rest covers keepers that restart and calls that
+# room for whole programs at once. The rest covers servers that restart and calls that
 # are delayed between grant and target.
 OVERRUN_RATE_FRACTION: Final = 0.5
 SLACK_RATE_FRACTION: Final = 0.5
 SLACK_BURST_FRACTION: Final = 0.4
-# Fraction of that rest with which a restarted keeper begins; calls that its predecessor
+# Fraction of that rest with which a restarted server begins; calls that its predecessor
 # granted may still be in flight.
 INITIAL_FRACTION: Final = 0.8
 
@@ -66,7 +66,8 @@
     burst : float
         Calls at once beyond the rate.
     keepers : int
-        Number of keepers among which it is split; lower where few boxes can be keepers.
+        Number of quota servers among which it is split; lower where few boxes are
+        available.
     """
 
     version: int
@@ -81,8 +82,8 @@
     Attributes
     ----------
     wait_seconds : float
-        Delay after which a granted call may be sent; for a refused one, until a call of
-        its kind would be granted.
+        Delay after which a granted call may be sent; for a rejected one, until a call
+        of its kind would be granted.
     level : float
         Tokens left.
     """
@@ -95,13 +96,13 @@
 class QuotaShare:
     """Grants calls of one workspace by the newest limit that it has received.
 
-    A keeper that starts doesn't know what its predecessor granted. It therefore begins
+    A server that starts doesn't know what its predecessor granted. It therefore begins
     with the unused part of the tolerance instead of a full burst.
 
     Parameters
     ----------
-    keeper_started_at : float
-        Time by `clock` at which the keeper started; it has granted no calls before.
+    server_started_at : float
+        Time by `clock` at which the server started; it has granted no calls before.
     """
 
     def __init__(
@@ -109,12 +110,12 @@
         limit: QuotaLimit,
         tolerance: QuotaTolerance,
         clock: Clock,
-        keeper_started_at: float,
+        server_started_at: float,
     ) -> None:
         self.limit = limit
         self.tolerance = tolerance
         rate = self.find_rate()
-        since_start = max(0.0, clock.monotonic() - keeper_started_at)
+        since_start = max(0.0, clock.monotonic() - server_started_at)
         level = self.find_initial_level() + rate * since_start
         self.bucket = TokenBucket(rate, self.find_burst(), clock, level)
 
@@ -140,7 +141,7 @@
         unused = tolerance.overrun * overrun + slack
         return max(1.0, INITIAL_FRACTION * unused / self.limit.keepers)
 
-    def note_limit(self, limit: QuotaLimit) -> None:
+    def update_limit(self, limit: QuotaLimit) -> None:
         """Apply a limit, unless its version is older."""
         if limit.version < self.limit.version or limit == self.limit:
             return
@@ -148,20 +149,22 @@
         self.bucket.refill()
         self.bucket.set_rate(self.find_rate(), self.find_burst())
 
-    def ask(self, begins_program: bool, patience_seconds: float = 0.0) -> QuotaGrant:
+    def acquire(
+        self, begins_program: bool, caller_timeout_seconds: float = 0.0
+    ) -> QuotaGrant:
         """Grant one call if a token is available, or will be soon enough.
 
         Parameters
         ----------
-        patience_seconds : float
+        caller_timeout_seconds : float
             How long the call may wait; ignored for a call that begins a program.
         """
         needed = 1.0
         if begins_program:
             needed = min(self.bucket.burst, 1.0 + START_RESERVE * self.bucket.burst)
         wait_seconds = self.bucket.seconds_until(needed)
-        patience_seconds = min(patience_seconds, MOST_WAIT_SECONDS)
-        if wait_seconds > (0.0 if begins_program else patience_seconds):
+        caller_timeout_seconds = min(caller_timeout_seconds, MAX_WAIT_SECONDS)
+        if wait_seconds > (0.0 if begins_program else caller_timeout_seconds):
             return QuotaGrant(False, wait_seconds, self.bucket.level)
         self.bucket.reserve()
         return QuotaGrant(True, wait_seconds, self.bucket.level)
--- a/src/cedarchute/decisions/pace_meter.py
+++ b/src/cedarchute/decisions/slowdown_meter.py
@@ -9,8 +9,8 @@
 
 from typing import Final
 
+from cedarchute.decisions.baseline_latency import BaselineLatency, LatencySums
 from cedarchute.decisions.decaying_sums import DecayingSums
-from cedarchute.decisions.usual_pace import LatencySums, UsualPace
 from cedarchute.record import Record
 
 # Time constant of recent samples. Engine queues grow in tenths of a second and programs
@@ -19,7 +19,7 @@
 # With fewer samples, of about three streams, single engines dominate the result.
 MIN_SAMPLES: Final = 24.0
 # Caps the slowdown of a target relative to the median, so that a few very slow targets
-# don't cause calls to all of them to be refused.
+# don't cause calls to all of them to be rejected.
 MAX_OVER_MEDIAN: Final = 2.5
 # The trend is the difference between recent and long-term samples. It extrapolates:
 # programs admitted now slow the engines down only a second later, and those admitted at
@@ -56,7 +56,7 @@
     return 1.0
 
 
-class PaceMeter:
+class SlowdownMeter:
     """Measures the slowdown of engines: current latencies relative to their baseline.
 
     Targets are measured one by one and outliers capped: a target far slower than the
@@ -65,7 +65,7 @@
     """
 
     def __init__(self) -> None:
-        self.baseline = UsualPace()
+        self.baseline = BaselineLatency()
         self.recent: dict[str, DecayingSums] = {}
         self.long_term: dict[str, DecayingSums] = {}
         self.waiting: dict[int, PendingWait] = {}
@@ -81,13 +81,13 @@
         """Record that a call no longer waits for its first event."""
         self.waiting.pop(number, None)
 
-    def record_first(self, target: str, now: float, seconds: float) -> None:
+    def record_first_event(self, target: str, now: float, seconds: float) -> None:
         """Record the time to the first event of a stream."""
         for sums in self.list_sums(target, now):
             sums.first_events += 1
             sums.first_event_seconds += seconds
 
-    def record_pauses(
+    def record_event_gaps(
         self, target: str, now: float, seconds: float, events: int
     ) -> None:
         """Record the time that the next `events` events of a stream took in all."""
--- a/src/cedarchute/decisions/knowledge_age.py
+++ b/src/cedarchute/decisions/staleness_limits.py
@@ -38,7 +38,7 @@
     LISTENER = "listener"
 
 
-class Step(Enum):
+class RefreshStep(Enum):
     """How a box refreshes its view."""
 
     NOTHING = "nothing"
@@ -46,7 +46,7 @@
     ASK_THE_STORE = "ask the store"
 
 
-class KnowledgeAge:
+class StalenessLimits:
     """The ages at which a box of each rank refreshes its view of the store.
 
     Parameters
@@ -66,7 +66,7 @@
         self.answer_seconds = TIMEOUT_FRACTION * known_seconds
         self.pause_seconds = POLL_FRACTION * known_seconds
 
-    def find_first_seconds(self, rank: ReaderRank) -> float:
+    def find_refresh_age(self, rank: ReaderRank) -> float:
         """Return the age at which a box of that rank sends its first query."""
         if rank is ReaderRank.FIRST:
             return self.first_reader_seconds
@@ -74,10 +74,10 @@
             return self.second_reader_seconds
         return self.boxes_seconds
 
-    def choose_step(self, rank: ReaderRank, age_seconds: float) -> Step:
+    def choose_refresh(self, rank: ReaderRank, age_seconds: float) -> RefreshStep:
         """Return how a box of that rank refreshes a view of that age."""
-        if age_seconds < self.find_first_seconds(rank):
-            return Step.NOTHING
+        if age_seconds < self.find_refresh_age(rank):
+            return RefreshStep.NOTHING
         if rank is ReaderRank.LISTENER and age_seconds < self.store_seconds:
-            return Step.ASK_A_BOX
-        return Step.ASK_THE_STORE
+            return RefreshStep.ASK_A_BOX
+        return RefreshStep.ASK_THE_STORE
--- a/src/cedarchute/limits/limit_borrower.py
+++ b/src/cedarchute/limits/limit_borrower.py
@@ -36,7 +36,7 @@
         """
         owner = self.view.ring.find_owner(request.workspace)
         if owner is None or owner == self.box:
-            return self.lender.on_borrow(request)
+            return self.lender.handle_borrow(request)
         record = self.view.boxes.get(owner)
         if record is None:
             raise PeerError(f"no record of {owner}")
--- a/src/cedarchute/limits/limit_lender.py
+++ b/src/cedarchute/limits/limit_lender.py
@@ -27,7 +27,7 @@
         self.clock = clock
         self.buckets: dict[str, TokenBucket] = {}
 
-    def on_borrow(self, request: BorrowRequest) -> BorrowReply:
+    def handle_borrow(self, request: BorrowRequest) -> BorrowReply:
         """Lend the requested calls as far as tokens are available."""
         site = self.configuration.site
         section = site.workspaces.get(request.workspace) if site else None
--- a/src/cedarchute/limits/retry_allowance.py
+++ b/src/cedarchute/limits/retry_budget.py
@@ -7,7 +7,7 @@
 BURST: Final = 10.0
 
 
-class RetryAllowance:
+class RetryBudget:
     """Each first attempt adds a share of a retry to the budget; a retry takes one.
 
     This bounds the load that retries add under overload, whatever fails.
@@ -17,7 +17,7 @@
         self.share = share
         self.level = BURST
 
-    def on_first_try(self) -> None:
+    def record_first_attempt(self) -> None:
         """Add the share of a first attempt to the budget."""
         self.level = min(BURST, self.level + self.share)
 
--- a/src/cedarchute/routing/target_choice.py
+++ b/src/cedarchute/routing/load_balancer.py
@@ -39,7 +39,7 @@
     return slots[(len(slots) - 1) // 2]
 
 
-class TargetChoice:
+class LoadBalancer:
     """Selects the target with the least expected wait, as observed by this box."""
 
     def __init__(
@@ -55,14 +55,14 @@
         self.random_source = random_source
         self.loads: defaultdict[str, TargetLoad] = defaultdict(TargetLoad)
 
-    def choose_service(self, route: Route) -> str:
+    def select_service(self, route: Route) -> str:
         """Return a random service of a route, weighted by the shares."""
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
         return self.random_source.choices(route.shares, weights)[0].service
 
-    def choose(
+    def select_target(
         self, service: str, tried: set[str], preferred: str = ""
     ) -> TargetEntry | None:
         """Return a target that was not tried yet, or None if there is none.
@@ -73,9 +73,9 @@
             Incarnation of the target that caches the prompt of the call, if any.
         """
         ready = [e for e in self.registry.list_ready(service) if e.id not in tried]
-        available = [e for e in ready if not self.loads[e.start].is_backing_off]
+        available = [e for e in ready if not self.loads[e.incarnation].is_backing_off]
         for entry in available:
-            if entry.start == preferred and self.has_capacity(entry):
+            if entry.incarnation == preferred and self.has_capacity(entry):
                 return entry
         candidates = available or ready
         if not candidates:
@@ -93,20 +93,22 @@
         A target without samples is given this mean: with a better value, each box
         would open a connection to every target.
         """
-        known = [self.loads[entry.start].seconds for entry in entries]
+        known = [
+            self.loads[entry.incarnation].mean_latency_seconds for entry in entries
+        ]
         seconds = [value for value in known if value is not None]
         return sum(seconds) / len(seconds) if seconds else 0.0
 
-    def forget_gone(self) -> None:
+    def prune_loads(self) -> None:
         """Remove the loads of target incarnations that are gone and have no calls."""
-        known = {entry.start for entry in self.registry.known.entries.values()}
-        for start in [start for start in self.loads if start not in known]:
-            if not self.loads[start].active:
-                del self.loads[start]
+        known = {entry.incarnation for entry in self.registry.known.entries.values()}
+        for key in [key for key in self.loads if key not in known]:
+            if not self.loads[key].active:
+                del self.loads[key]
 
     def has_capacity(self, entry: TargetEntry) -> bool:
         """Return whether a target has free slots, counting this box's calls only."""
-        return self.loads[entry.start].active < entry.slots
+        return self.loads[entry.incarnation].active < entry.slots
 
     def estimate_wait(
         self, entry: TargetEntry, default_seconds: float, max_slots: int
@@ -120,9 +122,11 @@
         max_slots : int
             Cap on the slots of a target.
         """
-        load = self.loads[entry.start]
+        load = self.loads[entry.incarnation]
         seconds = MIN_LATENCY_SECONDS + (
-            default_seconds if load.seconds is None else load.seconds
+            default_seconds
+            if load.mean_latency_seconds is None
+            else load.mean_latency_seconds
         )
         wait = (load.active + 1) / min(entry.slots, max_slots) * seconds
         wait *= 1.0 + FAILURE_WEIGHT * load.failure_share
--- a/src/cedarchute/routing/route.py
+++ b/src/cedarchute/routing/route.py
@@ -35,7 +35,7 @@
         Latency objective: time to the response, or to its first event.
     rank : int
         Priority of the route; 0 is the highest.
-    keeps_turns : bool
+    retains_turns : bool
         Whether calls are turns that send only their new input, since boxes keep the
         earlier ones.
     keep_seconds : float
@@ -53,8 +53,8 @@
     objective_seconds: float
     rank: int = 0
     max_targets: int = 1
-    keeps_turns: bool = False
-    keep_seconds: float = 0.0
+    retains_turns: bool = False
+    retention_seconds: float = 0.0
     is_public: bool = False
 
     @property
--- a/src/cedarchute/routing/target_entry.py
+++ b/src/cedarchute/routing/target_entry.py
@@ -19,10 +19,10 @@
     id : str
         Identifies the target; its address may be reused by another one.
     ready : bool
-        Whether it accepts new calls; false while it is leaving.
+        Whether it accepts new calls; false while it is draining.
     slots : int
         Requests that it runs concurrently.
-    cold_seconds : float
+    warmup_seconds : float
         Duration of its warm-up, from its start.
     born_ms : int
         Start time by the target's own clock, in Unix milliseconds; 0 if unknown.
@@ -34,10 +34,10 @@
     failure_domain: str
     ready: bool
     slots: int
-    cold_seconds: float = 0.0
-    born_ms: int = 0
+    warmup_seconds: float = 0.0
+    started_at_ms: int = 0
 
     @cached_property
-    def start(self) -> str:
+    def incarnation(self) -> str:
         """Id of this incarnation; its state is lost when the target restarts."""
-        return f"{self.id}@{self.born_ms}" if self.born_ms else self.id
+        return f"{self.id}@{self.started_at_ms}" if self.started_at_ms else self.id
--- a/src/cedarchute/routing/target_load.py
+++ b/src/cedarchute/routing/target_load.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.active = 0
-        self.seconds: float | None = None
+        self.mean_latency_seconds: float | None = None
         self.failures = 0
         self.failure_share = 0.0
         self.backoff_until = 0.0
@@ -40,10 +40,12 @@
         self.failures = 0
         self.backoff_until = 0.0
         self.failure_share -= EWMA_WEIGHT * self.failure_share
-        if self.seconds is None:
-            self.seconds = seconds
+        if self.mean_latency_seconds is None:
+            self.mean_latency_seconds = seconds
         else:
-            self.seconds += EWMA_WEIGHT * (seconds - self.seconds)
+            self.mean_latency_seconds += EWMA_WEIGHT * (
+                seconds - self.mean_latency_seconds
+            )
 
     def record_failure(self) -> None:
         """Record a call that failed without a response."""
@@ -52,6 +54,6 @@
         self.failure_share += EWMA_WEIGHT * (1.0 - self.failure_share)
         self.backoff_until = time.monotonic() + min(backoff, MAX_BACKOFF_SECONDS)
 
-    def record_full(self, seconds: float) -> None:
-        """Record that the target refused a call because it is at capacity."""
+    def record_overload(self, seconds: float) -> None:
+        """Record that the target rejected a call because it is at capacity."""
         self.backoff_until = max(self.backoff_until, time.monotonic() + seconds)
--- a/src/cedarchute/routing/target_registry.py
+++ b/src/cedarchute/routing/target_registry.py
@@ -21,7 +21,7 @@
 
 # A write of an earlier incarnation may take effect seconds after a restart. An entry
 # that is still there after this time is valid: the target's clock was set back. Shorter
-# than the time for which a leaving target keeps serving, so that it gets no new calls.
+# than the time for which a draining target keeps serving, so that it gets no new calls.
 DEFERRAL_SECONDS: Final = 3.0
 # Targets whose last start time is remembered after their entries are gone.
 MAX_REMEMBERED: Final = 4096
@@ -61,7 +61,7 @@
         """
         self.deferred.pop(entry.id, None)
         newest = self.newest_start_ms.get(entry.id, 0)
-        if entry.born_ms >= newest:
+        if entry.started_at_ms >= newest:
             self.apply(entry)
             return
         until = time.monotonic() + DEFERRAL_SECONDS
@@ -70,7 +70,7 @@
             "Target's entry deferred.",
             extra={
                 "target": entry.id,
-                "born_ms": entry.born_ms,
+                "born_ms": entry.started_at_ms,
                 "newest_born_ms": newest,
             },
         )
@@ -79,10 +79,10 @@
         """Put an entry into use and log what changed."""
         self.record_start(entry)
         before = self.known.put(entry.id, entry)
-        if before is not None and before.start != entry.start:
+        if before is not None and before.incarnation != entry.incarnation:
             log.info(
                 "Target started again.",
-                extra={"target": entry.id, "born_ms": entry.born_ms},
+                extra={"target": entry.id, "born_ms": entry.started_at_ms},
             )
             self.on_gone(before)
         elif before is not None and before.address != entry.address:
@@ -98,12 +98,12 @@
 
     def record_start(self, entry: TargetEntry) -> None:
         """Record the start time of a target, which is kept after its entry is gone."""
-        self.newest_start_ms[entry.id] = entry.born_ms
+        self.newest_start_ms[entry.id] = entry.started_at_ms
         self.newest_start_ms.move_to_end(entry.id)
         if len(self.newest_start_ms) > MAX_REMEMBERED:
             self.newest_start_ms.popitem(last=False)
 
-    def suspend(self, target: str) -> None:
+    def mark_not_ready(self, target: str) -> None:
         """Mark a target as not ready, since its entry can't be parsed."""
         self.deferred.pop(target, None)
         known = self.known.entries.get(target)
--- a/tests/decisions/test_quota_share.py
+++ b/tests/decisions/test_quota_share.py
@@ -1,4 +1,4 @@
-"""Quota shares stay within the limit of a workspace whichever keepers fail."""
+"""Quota shares stay within the limit of a workspace whichever servers fail."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def make_shares(limit, clock, started_at=None):
-    """Return the shares of keepers started at `started_at`, by default now."""
+    """Return the shares of quota servers started at `started_at`, by default now."""
     at = clock.now if started_at is None else started_at
     return [QuotaShare(limit, TOLERANCE, clock, at) for _ in range(KEEPERS)]
 
@@ -53,8 +53,8 @@
 steps = st.lists(
     st.tuples(
         st.floats(0.0, 0.4),  # seconds until the next call
-        st.integers(0, KEEPERS - 1),  # the first keeper requested
-        st.sets(st.integers(0, KEEPERS - 1)),  # keepers that don't respond
+        st.integers(0, KEEPERS - 1),  # the first server requested
+        st.sets(st.integers(0, KEEPERS - 1)),  # servers that don't respond
         st.booleans(),  # whether it begins a program
         st.sampled_from([0.0, 0.3, 2.0]),  # longest wait in seconds
     ),
@@ -78,10 +78,10 @@
     for pause, first, unresponsive, begins, max_wait in calls:
         clock.now += pause * times
         for number in range(first, first + KEEPERS):
-            keeper = number % KEEPERS
-            if keeper in unresponsive:
+            server = number % KEEPERS
+            if server in unresponsive:
                 continue
-            grant = shares[keeper].ask(begins, max_wait)
+            grant = shares[server].acquire(begins, max_wait)
             if grant.granted:
                 granted.append(clock.now + grant.wait_seconds)
                 break
@@ -100,7 +100,7 @@
         if lost_at is not None and clock.now >= lost_at:
             shares, lost_at = make_shares(limit, clock), None
         for share in shares:
-            if share.ask(False).granted:
+            if share.acquire(False).granted:
                 granted.append(clock.now)
     assert max_in_window(granted) <= max_allowed(limit)
 
@@ -111,14 +111,14 @@
     shares = make_shares(high, clock)
     clock.now = 60.0
     for share in shares:
-        share.note_limit(low)
+        share.update_limit(low)
         # A box with an older configuration still sends the older limit.
-        share.note_limit(high)
+        share.update_limit(high)
     granted = []
     while clock.now < 70.0:
         clock.now += 0.01
         for share in shares:
-            if share.ask(False).granted:
+            if share.acquire(False).granted:
                 granted.append(clock.now)
     assert max_in_window(granted) <= max_allowed(low)
     assert len(granted) > 100
@@ -127,11 +127,11 @@
 def test_a_single_keeper_holds_the_whole_limit():
     clock = FakeClock()
     limit = QuotaLimit(1, 30, 30, keepers=1)
-    share = QuotaShare(limit, TOLERANCE, clock, keeper_started_at=-60.0)
+    share = QuotaShare(limit, TOLERANCE, clock, server_started_at=-60.0)
     granted = []
     while clock.now < 10.0:
         clock.now += 0.005
-        if share.ask(False).granted:
+        if share.acquire(False).granted:
             granted.append(clock.now)
     assert max_in_window(granted) <= max_allowed(limit)
     assert len(granted) > 10 * 30
@@ -142,17 +142,17 @@
     share = QuotaShare(QuotaLimit(1, 30, 30), TOLERANCE, clock, clock.now)
     clock.now = 60.0
     for begins in (True, False):
-        while share.ask(False).granted:
+        while share.acquire(False).granted:
             pass
-        wait = share.ask(begins).wait_seconds
+        wait = share.acquire(begins).wait_seconds
         clock.now += wait * 0.99
-        assert not share.ask(begins).granted
+        assert not share.acquire(begins).granted
         clock.now += wait * 0.011
-        assert share.ask(begins).granted
+        assert share.acquire(begins).granted
 
 
 class Replay:
-    """Simulates the programs of one workspace, with all keepers, in virtual time.
+    """Simulates the programs of one workspace, with all quota servers, in virtual time.
 
     Two of five programs make about 22 calls and the others about nine.
     """
@@ -164,7 +164,7 @@
         self.shares = make_shares(self.limit, self.clock, started_at=-60.0)
         self.available = [s for n, s in enumerate(self.shares) if n not in down]
         self.granted = []
-        self.ended = self.refused = self.cut_off = 0
+        self.ended = self.rejected = self.cut_off = 0
 
     def run(self, load_factor):
         """Simulate 40 s at half of the limit, with a burst at a multiple of that."""
@@ -184,7 +184,7 @@
         while events:
             self.clock.now, number, call, calls = heapq.heappop(events)
             if not self.ask(call == 0):
-                self.refused += call == 0
+                self.rejected += call == 0
                 self.cut_off += call > 0
             elif call + 1 == calls:
                 self.ended += 1
@@ -196,11 +196,11 @@
     def ask(self, begins):
         order = self.random_source.sample(self.available, len(self.available))
         for share in order:
-            if share.ask(begins).granted:
+            if share.acquire(begins).granted:
                 self.granted.append(self.clock.now)
                 return True
-        earliest = min(order, key=lambda share: share.ask(begins).wait_seconds)
-        grant = earliest.ask(begins, patience_seconds=1.0)
+        earliest = min(order, key=lambda share: share.acquire(begins).wait_seconds)
+        grant = earliest.acquire(begins, caller_timeout_seconds=1.0)
         if grant.granted:
             self.granted.append(self.clock.now + grant.wait_seconds)
         return grant.granted
@@ -209,29 +209,29 @@
 def test_the_first_call_of_a_workspace_finds_its_share_filled():
     clock = FakeClock()
     clock.now = 16.0
-    share = QuotaShare(QuotaLimit(1, 6, 6), TOLERANCE, clock, keeper_started_at=0.0)
-    assert share.ask(begins_program=True).granted
+    share = QuotaShare(QuotaLimit(1, 6, 6), TOLERANCE, clock, server_started_at=0.0)
+    assert share.acquire(begins_program=True).granted
 
 
 def test_a_call_of_a_program_under_way_waits_and_a_start_does_not():
     clock = FakeClock()
     share = QuotaShare(QuotaLimit(1, 30, 30), TOLERANCE, clock, clock.now)
-    while share.ask(False).granted:
+    while share.acquire(False).granted:
         pass
     waits = []
-    while (grant := share.ask(False, patience_seconds=5.0)).granted:
+    while (grant := share.acquire(False, caller_timeout_seconds=5.0)).granted:
         waits.append(grant.wait_seconds)
     assert waits == sorted(waits)
     assert 0 < waits[0] < waits[-1] <= 1.0
     assert grant.wait_seconds > 1.0
-    assert not share.ask(True, patience_seconds=5.0).granted
+    assert not share.acquire(True, caller_timeout_seconds=5.0).granted
 
 
 @pytest.mark.parametrize("rate", [6, 10])
 def test_programs_of_a_small_workspace_end(rate):
     replays = [Replay(seed, rate).run(load_factor=1) for seed in range(25)]
     ended = sum(r.ended for r in replays)
-    asked = ended + sum(r.refused + r.cut_off for r in replays)
+    asked = ended + sum(r.rejected + r.cut_off for r in replays)
     assert ended > 0.95 * asked
 
 
@@ -250,6 +250,6 @@
 @pytest.mark.parametrize("down", [(), (1,)])
 def test_below_its_limit_a_workspace_is_served_also_with_a_keeper_lost(down):
     replays = [Replay(seed, 95, down).run(load_factor=1) for seed in range(6)]
-    lost = sum(r.refused + r.cut_off for r in replays)
+    lost = sum(r.rejected + r.cut_off for r in replays)
     asked = sum(r.ended for r in replays) + lost
     assert lost <= (0.05 if down else 0.0) * asked
--- a/tests/limits/test_workspace_limits.py
+++ b/tests/limits/test_workspace_limits.py
@@ -36,7 +36,7 @@
         def borrow(request):
             if is_owner_down:
                 raise PeerError("silent")
-            return lender.on_borrow(request)
+            return lender.handle_borrow(request)
 
         self.limits = [
             WorkspaceLimits(
