--- a/src/cedarchute/decisions/program_admission.py
+++ b/src/cedarchute/decisions/program_admission.py
@@ -21,7 +21,7 @@
 SHEDDING_START_USAGE: Final = 0.85
 FULL_SHEDDING_USAGE: Final = 1.0
 # Usage by which programs of a more important route are rejected later, per rank below
-# it; capped, so that less important routes are not starved.
+# it, and its cap; without it, they would be served less than others.
 RANK_ALLOWANCE: Final = 0.04
 MAX_RANK_ALLOWANCE: Final = 0.08
 
