--- a/tests/decisions/test_program_admission.py
+++ b/tests/decisions/test_program_admission.py
@@ -3,30 +3,30 @@
 import pytest
 
 from cedarchute.decisions.deadline_usage import (
-    DEFAULT,
-    WARM_SECONDS,
-    WINDOW,
+    DEFAULT_USAGE,
+    WARMUP_SECONDS,
+    WINDOW_TURNS,
     DeadlineUsage,
 )
 from cedarchute.decisions.program_admission import (
-    LEAST_RETRY_SECONDS,
+    MAX_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
     MIN_SHEDDING_SLOWDOWN,
-    MOST_RETRY_SECONDS,
     AdmissionInputs,
     compute_shedding_hash,
     decide_admission,
 )
 
 
-def decide(slowdown, use=0.55, ranks=0, standing=0.5, aim=2.0, waited=0.0):
+def decide(slowdown, use=0.55, ranks=0, shedding_hash=0.5, deadline=2.0, waited=0.0):
     return decide_admission(
-        AdmissionInputs(slowdown, use, ranks, standing, aim, waited)
+        AdmissionInputs(slowdown, use, ranks, shedding_hash, deadline, waited)
     )
 
 
 def test_nobody_is_refused_while_engines_have_room():
     calm = MIN_SHEDDING_SLOWDOWN - 0.01
-    assert decide(calm, use=1.0, standing=0.0, aim=0.1, waited=60.0).admitted
+    assert decide(calm, use=1.0, shedding_hash=0.0, deadline=0.1, waited=60.0).admitted
 
 
 def test_more_are_refused_the_slower_the_engines():
@@ -49,8 +49,8 @@
 
 
 def test_a_program_that_lost_time_waiting_is_refused_first():
-    assert decide(1.4, standing=0.2).admitted
-    assert not decide(1.4, standing=0.2, aim=1.9, waited=0.1).admitted
+    assert decide(1.4, shedding_hash=0.2).admitted
+    assert not decide(1.4, shedding_hash=0.2, deadline=1.9, waited=0.1).admitted
 
 
 def test_a_more_important_route_is_refused_later():
@@ -59,42 +59,42 @@
 
 
 def test_a_caller_that_names_no_aim_is_decided_on_by_load_alone():
-    assert decide(1.2, aim=None).admitted
-    assert not decide(3.0, aim=None).admitted
+    assert decide(1.2, deadline=None).admitted
+    assert not decide(3.0, deadline=None).admitted
 
 
-@pytest.mark.parametrize("aim", [None, 0.0, 0.4, 2.0, 9.0, 1000.0])
-def test_callers_are_told_when_to_come_back(aim):
-    decision = decide(9.0, aim=aim)
+@pytest.mark.parametrize("deadline", [None, 0.0, 0.4, 2.0, 9.0, 1000.0])
+def test_callers_are_told_when_to_come_back(deadline):
+    decision = decide(9.0, deadline=deadline)
     wait = decision.retry_after_seconds
-    assert LEAST_RETRY_SECONDS <= wait <= MOST_RETRY_SECONDS
+    assert MIN_RETRY_SECONDS <= wait <= MAX_RETRY_SECONDS
 
 
 def fill(use, shares, start=100.0):
     use.record_turn(start, 1.0, 0.1, 0.9)
     for share in shares:
-        use.record_turn(start + WARM_SECONDS, 1.0, share, 1.0 - share)
+        use.record_turn(start + WARMUP_SECONDS, 1.0, share, 1.0 - share)
 
 
 def test_use_is_what_programs_near_their_end_have_used():
     use = DeadlineUsage()
-    assert use.share == DEFAULT
-    fill(use, [0.6 * n / WINDOW for n in range(1, WINDOW + 1)])
+    assert use.share == DEFAULT_USAGE
+    fill(use, [0.6 * n / WINDOW_TURNS for n in range(1, WINDOW_TURNS + 1)])
     assert use.share == pytest.approx(0.5, abs=0.06)
 
 
 def test_the_first_seconds_of_a_box_tell_nothing():
     use = DeadlineUsage()
-    for number in range(5 * WINDOW):
+    for number in range(5 * WINDOW_TURNS):
         use.record_turn(100.0 + number / 100, 1.0, 0.1, 0.9)
-    assert use.share == DEFAULT
+    assert use.share == DEFAULT_USAGE
 
 
 def test_use_follows_slowly_and_bad_input_is_passed_over():
     use = DeadlineUsage()
-    fill(use, [0.3] * WINDOW)
+    fill(use, [0.3] * WINDOW_TURNS)
     assert use.share == pytest.approx(0.3)
-    fill(use, [0.9] * WINDOW)
+    fill(use, [0.9] * WINDOW_TURNS)
     assert use.share == pytest.approx(0.6)
     use.record_turn(200.0, 1.0, 0.0, 0.0)
     use.record_turn(200.0, 9.0, 0.5, 0.5)
@@ -104,6 +104,6 @@
 def test_use_is_told_for_engines_that_are_not_slowed_down():
     use = DeadlineUsage()
     use.record_turn(100.0, 1.0, 0.1, 0.9)
-    for _ in range(WINDOW):
+    for _ in range(WINDOW_TURNS):
         use.record_turn(110.0, 1.5, 0.6, 0.4)
     assert use.share == pytest.approx(0.4)
--- a/tests/decisions/test_staleness_limits.py
+++ b/tests/decisions/test_staleness_limits.py
@@ -1,4 +1,4 @@
-"""Who asks whom about knowledge of the store that grows old."""
+"""Which box refreshes a stale view of the store, when and from where."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_the_second_reader_waits_until_the_first_should_have_told(limits):
-    age = limits.reader_seconds
+    age = limits.first_reader_seconds
     assert limits.choose_refresh(ReaderRank.FIRST, age) is RefreshStep.ASK_THE_STORE
     assert limits.choose_refresh(ReaderRank.SECOND, age) is RefreshStep.NOTHING
     age = limits.second_reader_seconds
@@ -33,7 +33,7 @@
     first = limits.find_refresh_age(ReaderRank.LISTENER)
     assert first > limits.second_reader_seconds
     assert limits.choose_refresh(ReaderRank.LISTENER, first) is RefreshStep.ASK_A_BOX
-    # Time for two boxes that do not answer.
+    # Leaves time for two queries that time out.
     last = first + 2 * limits.answer_seconds
     assert limits.choose_refresh(ReaderRank.LISTENER, last) is RefreshStep.ASK_THE_STORE
 
--- a/tests/routing/test_target_registry.py
+++ b/tests/routing/test_target_registry.py
@@ -1,4 +1,4 @@
-"""Starts of a target under one id."""
+"""Incarnations of a target under one id."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cedarchute.routing import target_registry
 from cedarchute.routing.load_balancer import LoadBalancer
 from cedarchute.routing.target_entry import TargetEntry
-from cedarchute.routing.target_registry import HOLD_BACK_SECONDS, TargetRegistry
+from cedarchute.routing.target_registry import DEFERRAL_SECONDS, TargetRegistry
 
 OLD = TargetEntry("i-1", "s", Address("10.0.0.1", 80), "a", True, 8, started_at_ms=1000)
 NEW = replace(OLD, address=Address("10.0.0.2", 80), started_at_ms=2000)
@@ -63,7 +63,7 @@
     registry.put(OLD)
     assert ready_starts(registry) == []
     registry.remove("i-1")
-    clock.now += HOLD_BACK_SECONDS
+    clock.now += DEFERRAL_SECONDS
     registry.expire()
     assert ready_starts(registry) == []
 
@@ -71,7 +71,7 @@
 def test_a_target_whose_clock_was_set_back_is_used_after_a_while(registry, clock):
     registry.put(NEW)
     registry.put(OLD)
-    clock.now += HOLD_BACK_SECONDS
+    clock.now += DEFERRAL_SECONDS
     registry.expire()
     assert ready_starts(registry) == ["i-1@1000"]
 
@@ -83,30 +83,30 @@
 
 
 def test_what_was_learnt_of_the_earlier_start_is_gone(clock):
-    registry = TargetRegistry(lambda entry: choice.prune_loads())
-    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
+    registry = TargetRegistry(lambda entry: balancer.prune_loads())
+    balancer = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
     registry.put(OLD)
     registry.put(replace(OLD, id="i-2", address=Address("10.0.0.3", 80)))
-    load = choice.loads[OLD.incarnation]
+    load = balancer.loads[OLD.incarnation]
     load.record_failure()
     load.active = 7
-    choice.loads["i-2@1000"].record_answer(0.2)
+    balancer.loads["i-2@1000"].record_answer(0.2)
     registry.put(NEW)
-    assert choice.loads[NEW.incarnation].active == 0
-    assert not choice.loads[NEW.incarnation].is_paused
+    assert balancer.loads[NEW.incarnation].active == 0
+    assert not balancer.loads[NEW.incarnation].is_backing_off
     load.active = 0
-    choice.prune_loads()
-    assert OLD.incarnation not in choice.loads
+    balancer.prune_loads()
+    assert OLD.incarnation not in balancer.loads
 
 
 def test_what_the_earlier_start_held_is_not_looked_for_at_the_next(registry):
-    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
+    balancer = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
     registry.put(NEW)
     other = replace(OLD, id="i-2", address=Address("10.0.0.3", 80))
     registry.put(other)
-    choice.loads[NEW.incarnation].active = 1
-    assert choice.select_target("s", set(), NEW.incarnation).id == "i-1"
-    assert choice.select_target("s", set(), OLD.incarnation).id == "i-2"
+    balancer.loads[NEW.incarnation].active = 1
+    assert balancer.select_target("s", set(), NEW.incarnation).id == "i-1"
+    assert balancer.select_target("s", set(), OLD.incarnation).id == "i-2"
 
 
 def test_an_address_of_a_box_of_ours_names_no_target(clock, gone):
@@ -116,13 +116,13 @@
 
 
 def test_an_entry_that_claims_far_more_slots_does_not_take_all(registry):
-    choice = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
+    balancer = LoadBalancer(registry, "a", random.Random(7), lambda address: True)
     for number in range(9):
         registry.put(replace(OLD, id=f"i-{number}"))
     registry.put(replace(OLD, id="huge", slots=100_000))
     drawn = 0
     for _ in range(100):
-        chosen = choice.select_target("s", set())
-        choice.loads[chosen.incarnation].active += 1
+        chosen = balancer.select_target("s", set())
+        balancer.loads[chosen.incarnation].active += 1
         drawn += chosen.id == "huge"
     assert drawn <= 48
