--- a/src/cedarchute/calls/attempts.py
+++ b/src/cedarchute/calls/attempts.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
     from cedarchute.calls.target_client import OpenResponse, TargetClient
-    from cedarchute.decisions.slowdown_meter import SlowdownMeter
+    from cedarchute.decisions.pace_meter import SlowdownMeter
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.routing.route import Route
--- a/src/cedarchute/calls/key_authenticator.py
+++ b/src/cedarchute/calls/key_authenticator.py
@@ -6,13 +6,13 @@
 
 from cedarchute.calls.call_errors import CallRefusedError
 from cedarchute.calls.caller_identity import CallerIdentity
-from cedarchute.decisions.proof_age_limit import cap_age
+from cedarchute.decisions.key_trust import cap_age
 from cedarchute.platform.call_headers import read_key
 from cedarchute.routing.workspace_keys import digest_key
 
 if TYPE_CHECKING:
     from cedarchute.calls.call import Call
-    from cedarchute.decisions.proof_age_limit import ProofAgeLimit
+    from cedarchute.decisions.key_trust import ProofAgeLimit
     from cedarchute.metrics import Metrics
     from cedarchute.relay.caller_request import CallerRequest
     from cedarchute.routing.active_route_table import ActiveRouteTable
--- a/src/cedarchute/calls/program_admission_controller.py
+++ b/src/cedarchute/calls/program_admission_controller.py
@@ -9,7 +9,8 @@
 from typing import TYPE_CHECKING, Final
 
 from cedarchute.calls.call_errors import CallRefusedError
-from cedarchute.decisions.deadline_usage import DeadlineUsage
+from cedarchute.decisions.aim_use import DeadlineUsage
+from cedarchute.decisions.pace_meter import SlowdownMeter
 from cedarchute.decisions.program_admission import (
     MIN_SHEDDING_SLOWDOWN,
     AdmissionDecision,
@@ -17,7 +18,6 @@
     compute_shedding_hash,
     decide_admission,
 )
-from cedarchute.decisions.slowdown_meter import SlowdownMeter
 from cedarchute.turns.holder_fanout import NoQuorumError
 
 if TYPE_CHECKING:
--- a/src/cedarchute/daemon/entry_box.py
+++ b/src/cedarchute/daemon/entry_box.py
@@ -28,7 +28,7 @@
 )
 from cedarchute.daemon.loop_lag import LoopLag
 from cedarchute.daemon.node_parts import NodeParts
-from cedarchute.decisions.proof_age_limit import ProofAgeLimit
+from cedarchute.decisions.key_trust import ProofAgeLimit
 from cedarchute.fleet.box_directory import BoxDirectory
 from cedarchute.fleet.box_entry import BoxEntry, Role
 from cedarchute.fleet.holder_contact import HolderContact
--- a/src/cedarchute/daemon/node_parts.py
+++ b/src/cedarchute/daemon/node_parts.py
@@ -8,7 +8,7 @@
 import eventlet
 
 from cedarchute.address import Address
-from cedarchute.decisions.staleness_limits import StalenessLimits
+from cedarchute.decisions.knowledge_age import StalenessLimits
 from cedarchute.fleet.configuration_prover import ConfigurationProver
 from cedarchute.fleet.followers import SEATS_KEY, BoxFollower, SeatFollower
 from cedarchute.fleet.reader_choice import ReaderChoice
--- a/src/cedarchute/decisions/decaying_sums.py
+++ b/src/cedarchute/decisions/decaying_sums.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cedarchute.decisions.baseline_latency import LatencySums
+from cedarchute.decisions.usual_pace import LatencySums
 from cedarchute.record import MutableRecord
 
 
--- a/src/cedarchute/decisions/slowdown_meter.py
+++ b/src/cedarchute/decisions/pace_meter.py
@@ -9,8 +9,8 @@
 
 from typing import Final
 
-from cedarchute.decisions.baseline_latency import BaselineLatency, LatencySums
 from cedarchute.decisions.decaying_sums import DecayingSums
+from cedarchute.decisions.usual_pace import BaselineLatency, LatencySums
 from cedarchute.record import Record
 
 # Time constant of recent samples. Engine queues grow in tenths of a second and programs
--- a/src/cedarchute/fleet/configuration_prover.py
+++ b/src/cedarchute/fleet/configuration_prover.py
@@ -9,15 +9,15 @@
 import eventlet
 from eventlet.event import Event
 
-from cedarchute.decisions.proof_age_limit import cap_age
-from cedarchute.decisions.staleness_limits import ReaderRank, RefreshStep
+from cedarchute.decisions.key_trust import cap_age
+from cedarchute.decisions.knowledge_age import ReaderRank, RefreshStep
 from cedarchute.fleet.backoff import Backoff
 from cedarchute.fleet.state_messages import MirroredEntry
 from cedarchute.fleet.store_reader import EVERYTHING
 from cedarchute.platform.store_client import HistoryGoneError, StoreUnavailableError
 
 if TYPE_CHECKING:
-    from cedarchute.decisions.staleness_limits import StalenessLimits
+    from cedarchute.decisions.knowledge_age import StalenessLimits
     from cedarchute.fleet.reader_choice import ReaderChoice
     from cedarchute.fleet.state_puller import StatePuller
     from cedarchute.fleet.store_mirror import StoreMirror
--- a/src/cedarchute/fleet/reader_choice.py
+++ b/src/cedarchute/fleet/reader_choice.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from cedarchute.decisions.staleness_limits import ReaderRank
+from cedarchute.decisions.knowledge_age import ReaderRank
 from cedarchute.fleet.box_entry import Role
 
 if TYPE_CHECKING:
--- a/src/experiments/overload/box.py
+++ b/src/experiments/overload/box.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from cedarchute.decisions.deadline_usage import DeadlineUsage
+from cedarchute.decisions.aim_use import DeadlineUsage
+from cedarchute.decisions.pace_meter import SlowdownMeter
 from cedarchute.decisions.program_admission import (
     AdmissionDecision,
     AdmissionInputs,
     compute_shedding_hash,
     decide_admission,
 )
-from cedarchute.decisions.slowdown_meter import SlowdownMeter
 from experiments.overload.engine import RunningCall
 
 if TYPE_CHECKING:
--- a/tests/calls/test_key_authenticator.py
+++ b/tests/calls/test_key_authenticator.py
@@ -16,7 +16,7 @@
     KeyAuthenticator,
 )
 from cedarchute.calls.target_client import TargetClient
-from cedarchute.decisions.proof_age_limit import ProofAgeLimit
+from cedarchute.decisions.key_trust import ProofAgeLimit
 from cedarchute.metrics import Metrics
 from cedarchute.relay.caller_request import CallerRequest
 from cedarchute.relay.headers import Headers
--- a/tests/decisions/test_staleness_limits.py
+++ b/tests/decisions/test_knowledge_age.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cedarchute.decisions.staleness_limits import (
+from cedarchute.decisions.knowledge_age import (
     ReaderRank,
     RefreshStep,
     StalenessLimits,
--- a/tests/decisions/test_slowdown_meter.py
+++ b/tests/decisions/test_pace_meter.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cedarchute.decisions.slowdown_meter import MAX_OVERDUE_RATIO, SlowdownMeter
+from cedarchute.decisions.pace_meter import MAX_OVERDUE_RATIO, SlowdownMeter
 
 TARGETS = ("a", "b", "c", "d", "e")
 
--- a/tests/decisions/test_program_admission.py
+++ b/tests/decisions/test_program_admission.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cedarchute.decisions.deadline_usage import (
+from cedarchute.decisions.aim_use import (
     DEFAULT_USAGE,
     WARMUP_SECONDS,
     WINDOW_TURNS,
--- a/tests/fleet/test_reader_choice.py
+++ b/tests/fleet/test_reader_choice.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cedarchute.decisions.staleness_limits import ReaderRank
+from cedarchute.decisions.knowledge_age import ReaderRank
 from cedarchute.fleet.box_directory import BoxDirectory
 from cedarchute.fleet.box_entry import BoxEntry, Role
 from cedarchute.fleet.reader_choice import READERS_PER_DOMAIN, ReaderChoice
--- a/tests/platform_site/test_fleet.py
+++ b/tests/platform_site/test_fleet.py
@@ -9,7 +9,7 @@
 
 from conftest_nodes import ROUTES, make_route, wait_known
 
-from cedarchute.decisions.proof_age_limit import UNKNOWN_AGE_SECONDS
+from cedarchute.decisions.key_trust import UNKNOWN_AGE_SECONDS
 from experiments.node_site import NodeSite
 from experiments.ports import find_free_port
 from experiments.raw_caller import RawCaller, build_request, call
--- a/tests/platform_site/test_overload.py
+++ b/tests/platform_site/test_overload.py
@@ -6,7 +6,7 @@
 
 from turn_callers import say, take_turn, turn_headers
 
-from cedarchute.decisions.baseline_latency import WINDOW_FIRST_EVENTS
+from cedarchute.decisions.usual_pace import WINDOW_FIRST_EVENTS
 from experiments.raw_caller import RawCaller, build_request, call
 from experiments.waiting import wait_until
 from standins.raw_target import LAST_CHUNK, chunk, event, stream_head
--- a/tests/stateful/test_proof_machine.py
+++ b/tests/stateful/test_proof_machine.py
@@ -14,7 +14,7 @@
     rule,
 )
 
-from cedarchute.decisions.proof_age_limit import MARGIN_SECONDS, ProofAgeLimit
+from cedarchute.decisions.key_trust import MARGIN_SECONDS, ProofAgeLimit
 from cedarchute.fleet import configuration_proof, store_mirror
 from cedarchute.fleet.state_messages import MirroredEntry
 from cedarchute.fleet.store_mirror import StoreMirror
