--- a/src/cedarchute/copies/__init__.py
+++ b/src/cedarchute/copies/__init__.py
@@ -1,1 +1,1 @@
-"""Copies of the records of programs, on boxes in other failure domains."""
+"""Replication of program records to boxes in other failure domains."""
--- a/src/cedarchute/copies/disk_storage.py
+++ b/src/cedarchute/copies/disk_storage.py
@@ -1,4 +1,4 @@
-"""Keeps copies in the data folder, so that they survive a restart."""
+"""Durable storage of copies in the data folder."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 log = logging.getLogger("cedarchute.copies")
 
-JOURNAL_NAME: Final = "copies.journal"
-HOLDER_NAME: Final = "holder"
-LOCK_NAME: Final = "lock"
+JOURNAL_FILE: Final = "copies.journal"
+HOLDER_FILE: Final = "holder"
+LOCK_FILE: Final = "lock"
 
 
 class FolderInUseError(Exception):
@@ -28,26 +28,26 @@
 
 
 class DiskStorage:
-    """A journal of records; memory keeps only where each of them is.
+    """Stores records in a journal and keeps only their offsets in memory.
 
-    The journal is written anew with what is still held at each start.
+    The journal is compacted at each start.
     """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.lock = open(folder / LOCK_NAME, "w", encoding="ascii")  # noqa: SIM115
+        self.lock_file = open(folder / LOCK_FILE, "w", encoding="ascii")  # noqa: SIM115
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             raise FolderInUseError(
                 f"[box] data_folder: '{folder}' is used by another process; "
                 "give each box a folder of its own"
             ) from error
-        self.journal = Journal(folder / JOURNAL_NAME)
+        self.journal = Journal(folder / JOURNAL_FILE)
 
     def name_holder(self, new: str) -> str:
-        """Return the name of the holder whose copies are here; `new` if none are."""
-        path = self.folder / HOLDER_NAME
+        """Return the stored name of the holder; store `new` when there is none."""
+        path = self.folder / HOLDER_FILE
         if path.exists():
             return path.read_text(encoding="ascii").strip()
         temporary = path.with_suffix(".new")
@@ -56,11 +56,11 @@
         return new
 
     def load(self) -> dict[str, PartitionCopy]:
-        """Return what the journal holds, after writing it anew."""
+        """Replay the journal, compact it and return the copies in it."""
         copies: dict[str, PartitionCopy] = {}
         for offset, payload in self.journal.read_all():
             header, _, _ = payload.partition(b"\n")
-            take_frame(copies, json.loads(header), offset)
+            replay_frame(copies, json.loads(header), offset)
         self._rewrite(copies)
         count = sum(len(copy.programs) for copy in copies.values())
         log.info("Read %d programs from %s.", count, self.folder)
@@ -68,11 +68,11 @@
 
     def _rewrite(self, copies: dict[str, PartitionCopy]) -> None:
         old = self.journal
-        path = self.folder / f"{JOURNAL_NAME}.new"
+        path = self.folder / f"{JOURNAL_FILE}.new"
         path.unlink(missing_ok=True)
         self.journal = Journal(path)
         for partition, copy in copies.items():
-            self.note_epoch(partition, copy.epoch)
+            self.record_epoch(partition, copy.epoch)
             for program, records in copy.programs.items():
                 for index, record in enumerate(records):
                     payload = old.read(record.handle)  # type: ignore[arg-type]
@@ -81,13 +81,13 @@
                         partition, program, index, record.epoch, text
                     )
         self.journal.sync()
-        os.replace(path, self.folder / JOURNAL_NAME)
+        os.replace(path, self.folder / JOURNAL_FILE)
         old.close()
 
     def put(
         self, partition: str, program: str, index: int, epoch: int, text: str
     ) -> object:
-        """Add a record to the journal and return its offset."""
+        """Append a record to the journal and return its offset."""
         header = ["record", partition, program, index, epoch]
         return self.journal.append(json.dumps(header).encode() + b"\n" + text.encode())
 
@@ -96,23 +96,23 @@
         assert isinstance(handle, int)
         return self.journal.read(handle).partition(b"\n")[2].decode()
 
-    def note_epoch(self, partition: str, epoch: int) -> None:
-        """Add an epoch to the journal."""
+    def record_epoch(self, partition: str, epoch: int) -> None:
+        """Append the new epoch of a partition to the journal."""
         self.journal.append(json.dumps(["epoch", partition, epoch]).encode())
 
-    def note_forgotten(self, partition: str, program: str | None) -> None:
-        """Add to the journal that something is not held any more."""
+    def record_forgotten(self, partition: str, program: str | None) -> None:
+        """Append the deletion of a program, or of a partition, to the journal."""
         self.journal.append(json.dumps(["forgotten", partition, program]).encode())
 
     def sync(self) -> None:
-        """Return when the journal is on the disk."""
+        """Block until the journal is on the disk."""
         self.journal.sync()
 
 
-def take_frame(
+def replay_frame(
     copies: dict[str, PartitionCopy], header: list[Any], offset: int
 ) -> None:
-    """Take one frame of the journal into the copies."""
+    """Apply one frame of the journal to the copies."""
     kind, partition, *rest = header
     if kind == "forgotten" and rest[0] is None:
         copies.pop(partition, None)
--- a/src/cedarchute/copies/held_record.py
+++ b/src/cedarchute/copies/held_record.py
@@ -1,4 +1,4 @@
-"""A record as copies keep it: its epoch and its text, not interpreted."""
+"""A record as holders store it: its epoch and its opaque text."""
 
 from __future__ import annotations
 
--- a/src/cedarchute/copies/holder.py
+++ b/src/cedarchute/copies/holder.py
@@ -1,4 +1,4 @@
-"""Holds copies of the logs of other boxes' programs."""
+"""Stores copies of the program logs of other boxes."""
 
 from __future__ import annotations
 
@@ -33,16 +33,18 @@
 
 
 class Holder:
-    """Takes an append only from the current epoch and only at the next index.
+    """Accepts appends from the current epoch only, without gaps in a log.
 
     Parameters
     ----------
     name : str
-        Names this storage; a request for another one is turned away, so that a
-        box that restarted with nothing is never taken for one that has copies.
+        Identifies this storage. Requests for another name are rejected, so that
+        a box that restarted with an empty storage is not mistaken for a holder
+        of copies.
     takeover_seconds : float
-        For how long after the last append a partition is not sealed, unless its
-        owner is known to be gone. The owner relies on it before it dispatches.
+        Minimum time after the last append of an owner before its partition can
+        be sealed, unless the owner is known to be gone. The owner relies on it
+        when it dispatches a call.
     """
 
     def __init__(
@@ -60,11 +62,11 @@
         self.metrics = metrics
         self.partitions = storage.load()
         for copy in self.partitions.values():
-            # Whatever was heard before the restart counts as heard just now.
+            # The time of the last append is not stored; assume a recent one.
             copy.heard_at = clock.monotonic()
 
     def on_append(self, request: AppendRequest) -> AppendReply:
-        """Take in one batch."""
+        """Apply a batch and return when it is durable."""
         if request.holder != self.name:
             return AppendReply(holder=False)
         results = tuple(self.append(append) for append in request.appends)
@@ -72,18 +74,18 @@
         return AppendReply(holder=True, results=results)
 
     def append(self, append: PartitionAppend) -> PartitionAppended:
-        """Take in the entries of one partition."""
+        """Apply the entries of one partition, unless their epoch is too old."""
         copy = self.partitions.setdefault(append.partition, PartitionCopy())
         if append.epoch < copy.epoch:
             self.metrics.count("copies.append_refused_epoch")
             return PartitionAppended(partition=append.partition, sealed=copy.epoch)
-        self.raise_epoch(append.partition, copy, append.epoch)
+        self.advance_epoch(append.partition, copy, append.epoch)
         copy.heard_at = self.clock.monotonic()
         lengths = {}
         for entry in append.entries:
             if entry.forget:
                 copy.programs.pop(entry.program, None)
-                self.storage.note_forgotten(append.partition, entry.program)
+                self.storage.record_forgotten(append.partition, entry.program)
                 lengths[entry.program] = 0
             else:
                 lengths[entry.program] = self.append_entry(
@@ -91,16 +93,16 @@
                 )
         return PartitionAppended(partition=append.partition, lengths=lengths)
 
-    def raise_epoch(self, partition: str, copy: PartitionCopy, epoch: int) -> None:
-        """Refuse lower epochs from now on."""
+    def advance_epoch(self, partition: str, copy: PartitionCopy, epoch: int) -> None:
+        """Store a higher epoch; appends of lower ones are rejected from now on."""
         if epoch > copy.epoch:
             copy.epoch = epoch
-            self.storage.note_epoch(partition, epoch)
+            self.storage.record_epoch(partition, epoch)
 
     def append_entry(
         self, partition: str, copy: PartitionCopy, entry: AppendEntry
     ) -> int:
-        """Take in the records of one program; return how many match now."""
+        """Append the records of one program; return the length of the matching log."""
         records = copy.programs.setdefault(entry.program, [])
         if entry.start > len(records):
             return len(records)
@@ -120,17 +122,21 @@
         return position
 
     def on_seal(self, request: SealRequest) -> SealReply:
-        """Refuse lower epochs from now on and say what is held."""
+        """Reject lower epochs from now on; return a summary of the stored logs."""
         if request.holder != self.name:
             return SealReply(refused="other holder")
         copy = self.partitions.setdefault(request.partition, PartitionCopy())
         if request.epoch < copy.epoch:
             return SealReply(refused="higher epoch")
-        silent = self.clock.monotonic() - copy.heard_at
-        is_resumed = request.epoch == copy.epoch
-        if not is_resumed and not request.owner_gone and silent < self.takeover_seconds:
+        silent_seconds = self.clock.monotonic() - copy.heard_at
+        is_same_epoch = request.epoch == copy.epoch
+        if (
+            not is_same_epoch
+            and not request.owner_gone
+            and silent_seconds < self.takeover_seconds
+        ):
             return SealReply(refused="owner heard")
-        self.raise_epoch(request.partition, copy, request.epoch)
+        self.advance_epoch(request.partition, copy, request.epoch)
         self.storage.sync()
         logs = {
             program: LogSummary(length=len(records), last_epoch=records[-1].epoch)
@@ -158,9 +164,9 @@
         )
 
     def drop(self, partition: str) -> None:
-        """Forget a partition that this box holds no copies of any more."""
+        """Delete the copies of a partition that this box no longer holds."""
         if self.partitions.pop(partition, None) is not None:
-            self.storage.note_forgotten(partition, None)
+            self.storage.record_forgotten(partition, None)
 
     @property
     def held_programs(self) -> Iterable[str]:
--- a/src/cedarchute/copies/holder_link.py
+++ b/src/cedarchute/copies/holder_link.py
@@ -1,4 +1,4 @@
-"""Sends records to one holder, in batches over all partitions."""
+"""Sends records to one holder, in batches that span partitions."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class HolderLink:
-    """One task for one holder: takes what is due, sends it, notes the reply."""
+    """Sends pending records to one holder from a task of its own, with retries."""
 
     def __init__(
         self,
@@ -53,95 +53,101 @@
         self.find_partition = find_partition
         self.clock = clock
         self.metrics = metrics
-        self.due: dict[tuple[str, str], None] = {}
-        self.pings: set[str] = set()
-        self.forgotten: dict[tuple[str, str], None] = {}
+        self.pending: dict[tuple[str, str], None] = {}
+        self.pending_pings: set[str] = set()
+        self.pending_forgets: dict[tuple[str, str], None] = {}
         self.is_failing = False
-        self.wake = Event()
+        self.work_available = Event()
         self.task = eventlet.spawn(self.send_forever)
 
     def mark(self, partition: str, program: str) -> None:
-        """Note that records of a program are due."""
-        self.due[(partition, program)] = None
-        self._wake()
+        """Queue the missing records of a program for the next batch."""
+        self.pending[(partition, program)] = None
+        self._notify()
 
     def ping(self, partition: str) -> None:
-        """Ask the holder to confirm the owner, with no records."""
-        self.pings.add(partition)
-        self._wake()
+        """Queue an append without records, which confirms the owner."""
+        self.pending_pings.add(partition)
+        self._notify()
 
     def forget(self, partition: str, program: str) -> None:
-        """Ask the holder to forget a program."""
-        self.forgotten[(partition, program)] = None
-        self._wake()
+        """Queue the deletion of a program on the holder."""
+        self.pending_forgets[(partition, program)] = None
+        self._notify()
 
-    def _wake(self) -> None:
-        if not self.wake.ready():
-            self.wake.send(None)
+    def _notify(self) -> None:
+        if not self.work_available.ready():
+            self.work_available.send(None)
 
     def send_forever(self) -> None:
-        """Send whatever is due, again after a failure."""
+        """Send pending batches; retry after a failure."""
         while True:
-            if not (self.due or self.pings or self.forgotten):
-                self.wake = Event()
-                self.wake.wait()
+            if not (self.pending or self.pending_pings or self.pending_forgets):
+                self.work_available = Event()
+                self.work_available.wait()
             try:
-                self.send_once()
+                self.send_batch()
                 self.is_failing = False
             except PeerError as error:
                 if not self.is_failing:
-                    log.warning("Holder %s does not answer: %s", self.holder, error)
+                    log.warning("Append to holder %s failed: %s", self.holder, error)
                 self.is_failing = True
                 self.metrics.count_retry("copies_append")
                 eventlet.sleep(RETRY_SECONDS)
 
-    def send_once(self) -> None:
-        """Send one batch and note what the holder has now."""
-        request = self.take_batch()
+    def send_batch(self) -> None:
+        """Send one batch and apply the reply; requeue the batch on failure."""
+        request = self.next_batch()
         if not request.appends:
             return
-        started = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         try:
             reply = self.exchange(request)
             if not reply.holder:
-                raise PeerError(f"{self.holder} has no copies any more")
+                raise PeerError(f"{self.holder} has lost its copies")
         except PeerError:
-            self.put_back(request)
+            self.requeue_batch(request)
             raise
         for result in reply.results:
             partition = self.find_partition(result.partition)
             if partition is None:
                 continue
             if result.sealed is not None:
-                log.info("Partition %s sealed at %d.", partition.name, result.sealed)
+                log.info(
+                    "Partition %s was sealed at epoch %d.",
+                    partition.name,
+                    result.sealed,
+                )
                 partition.lose()
                 continue
-            partition.confirmed[self.holder] = started
+            partition.confirmation_times[self.holder] = sent_at
             for program, length in result.lengths.items():
-                self.on_length(partition, program, length)
+                self.update_length(partition, program, length)
 
     def exchange(self, request: AppendRequest) -> AppendReply:
-        """Send a batch to the holder, wherever it is."""
+        """Send a batch to the holder, on this box or on another one."""
         if self.holder == self.local.name:
             return self.local.on_append(request)
         box = self.view.find_holder(self.holder)
         if box is None:
-            raise PeerError(f"no box holds {self.holder}")
+            raise PeerError(f"no known box has holder {self.holder}")
         return self.client.send(box.peer_address, "append", request, AppendReply)
 
-    def on_length(self, partition: OwnedPartition, program: str, length: int) -> None:
-        """Note how much the holder has, and send the rest."""
+    def update_length(
+        self, partition: OwnedPartition, program: str, length: int
+    ) -> None:
+        """Update the length that the holder has; queue the rest of the log."""
         program_log = partition.logs.get(program)
         if program_log is None:
             return
-        program_log.on_matched(self.holder, length)
+        program_log.record_matched(self.holder, length)
         if length < len(program_log):
             self.mark(partition.name, program)
 
-    def take_batch(self) -> AppendRequest:
-        """Return the next batch, up to a bound in bytes."""
-        pings, self.pings = self.pings, set()
-        forgotten, self.forgotten = self.forgotten, {}
+    def next_batch(self) -> AppendRequest:
+        """Return the next batch; it stops growing at `BATCH_BYTES`."""
+        pings, self.pending_pings = self.pending_pings, set()
+        forgotten, self.pending_forgets = self.pending_forgets, {}
         entries: dict[str, list[AppendEntry]] = {name: [] for name in pings}
         for partition, program in forgotten:
             entry = AppendEntry(
@@ -149,8 +155,8 @@
             )
             entries.setdefault(partition, []).append(entry)
         size = 0
-        while self.due and size < BATCH_BYTES:
-            (name, program), _ = self.due.popitem()
+        while self.pending and size < BATCH_BYTES:
+            (name, program), _ = self.pending.popitem()
             partition = self.find_partition(name)
             program_log = partition.logs.get(program) if partition else None
             if partition is None or program_log is None or partition.is_lost:
@@ -170,26 +176,26 @@
         return AppendRequest(holder=self.holder, appends=tuple(appends))
 
     def make_entry(self, program: str, program_log: ProgramLog) -> AppendEntry:
-        """Return what the holder lacks of one log."""
+        """Return the records of one log that the holder does not have yet."""
         start = min(program_log.matched.get(self.holder, 0), len(program_log))
         previous = program_log.records[start - 1].epoch if start else 0
         return AppendEntry(
             program=program,
             start=start,
             previous_epoch=previous,
-            records=tuple(r.to_held() for r in program_log.records[start:]),
+            records=tuple(r.to_held_record() for r in program_log.records[start:]),
         )
 
-    def put_back(self, request: AppendRequest) -> None:
-        """Make everything in a batch due again."""
+    def requeue_batch(self, request: AppendRequest) -> None:
+        """Queue the entries of a batch again."""
         for append in request.appends:
             for entry in append.entries:
                 key = (append.partition, entry.program)
                 if entry.forget:
-                    self.forgotten[key] = None
+                    self.pending_forgets[key] = None
                 else:
-                    self.due[key] = None
+                    self.pending[key] = None
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop the sending task."""
         self.task.kill()
--- a/src/cedarchute/copies/journal.py
+++ b/src/cedarchute/copies/journal.py
@@ -1,4 +1,4 @@
-"""A file of checksummed frames that only grows, with a shared sync."""
+"""Append-only file of checksummed frames, with group commit."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-HEADER: Final = struct.Struct(">II")
+FRAME_HEADER: Final = struct.Struct(">II")
 
 
 class Journal:
-    """Frames of bytes, each with its length and a CRC-32.
+    """Append-only journal; each frame has its length and a CRC-32.
 
-    A frame that is cut short or damaged ends the journal: a process that dies in
-    the middle of a write leaves such a tail, and nobody was told that it is kept.
+    A truncated or corrupt frame ends the journal. A process that dies during a
+    write leaves such a tail, which was never acknowledged.
     """
 
     def __init__(self, path: Path) -> None:
@@ -29,50 +29,50 @@
         self.file = open(path, "a+b", buffering=0)  # noqa: SIM115
         self.pending: list[bytes] = []
         self.size = path.stat().st_size
-        self.synced = self.size
+        self.synced_size = self.size
         self.lock = Semaphore(1)
 
     def read_all(self) -> Iterator[tuple[int, bytes]]:
-        """Yield the offset and the payload of each whole frame; cut the rest."""
+        """Yield offset and payload of each valid frame; truncate the rest."""
         offset = 0
         with open(self.path, "rb") as file:
             while True:
-                header = file.read(HEADER.size)
-                if len(header) < HEADER.size:
+                header = file.read(FRAME_HEADER.size)
+                if len(header) < FRAME_HEADER.size:
                     break
-                length, checksum = HEADER.unpack(header)
+                length, checksum = FRAME_HEADER.unpack(header)
                 payload = file.read(length)
                 if len(payload) < length or zlib.crc32(payload) != checksum:
                     break
                 yield offset, payload
-                offset += HEADER.size + length
+                offset += FRAME_HEADER.size + length
         if offset < self.size:
             os.truncate(self.path, offset)
-            self.size = self.synced = offset
+            self.size = self.synced_size = offset
 
     def append(self, payload: bytes) -> int:
-        """Add a frame and return its offset; kept only after `sync`."""
+        """Buffer a frame and return its offset; it is durable only after `sync`."""
         offset = self.size
-        frame = HEADER.pack(len(payload), zlib.crc32(payload)) + payload
+        frame = FRAME_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
         self.pending.append(frame)
         self.size += len(frame)
         return offset
 
     def sync(self) -> None:
-        """Return when every frame added so far is on the disk.
+        """Block until every frame appended so far is on the disk.
 
-        Tasks that wait here together share one write and one sync.
+        Concurrent callers share one write and one fsync.
         """
-        wanted = self.size
-        while self.synced < wanted:
+        required_size = self.size
+        while self.synced_size < required_size:
             with self.lock:
-                if self.synced >= wanted:
+                if self.synced_size >= required_size:
                     return
                 data = b"".join(self.pending)
-                reached = self.size
+                written_size = self.size
                 self.pending = []
                 tpool.execute(self._write, data)
-                self.synced = reached
+                self.synced_size = written_size
 
     def _write(self, data: bytes) -> None:
         self.file.write(data)
@@ -80,14 +80,18 @@
 
     def read(self, offset: int) -> bytes:
         """Return the payload of the frame at `offset`."""
-        if offset >= self.synced:
+        if offset >= self.synced_size:
             self.sync()
         descriptor = self.file.fileno()
-        header = os.pread(descriptor, HEADER.size, offset)
-        length, checksum = HEADER.unpack(header)
-        payload = tpool.execute(os.pread, descriptor, length, offset + HEADER.size)
+        header = os.pread(descriptor, FRAME_HEADER.size, offset)
+        length, checksum = FRAME_HEADER.unpack(header)
+        payload = tpool.execute(
+            os.pread, descriptor, length, offset + FRAME_HEADER.size
+        )
         if zlib.crc32(payload) != checksum:
-            raise DamagedFrameError(f"{self.path}: frame at {offset} is damaged")
+            raise DamagedFrameError(
+                f"{self.path}: checksum mismatch in frame at offset {offset}"
+            )
         return payload
 
     def close(self) -> None:
@@ -96,6 +100,6 @@
 
 
 class DamagedFrameError(Exception):
-    """A frame that was whole before has changed on the disk."""
+    """A frame fails its checksum on a read."""
 
     code = "damaged_frame"
--- a/src/cedarchute/copies/log_record.py
+++ b/src/cedarchute/copies/log_record.py
@@ -1,50 +1,50 @@
-"""A record as its home keeps it."""
+"""A record as the owner of its program keeps it."""
 
 from __future__ import annotations
 
 from cedarchute.copies.held_record import HeldRecord
-from cedarchute.copies.packed_text import pack_text, unpack_text
+from cedarchute.copies.packed_text import compress_text, decompress_text
 
 
 class LogRecord:
-    """One record of a program's log; packed while its program is idle.
+    """One record of a program's log; compressed while its program is idle.
 
     Parameters
     ----------
     epoch : int
-        Of the owner that wrote it.
+        Epoch of the owner that wrote the record.
     text : str
-        The record, not interpreted.
+        Opaque content of the record.
     """
 
-    __slots__ = ("_packed", "_text", "epoch")
+    __slots__ = ("_compressed", "_text", "epoch")
 
     def __init__(self, epoch: int, text: str) -> None:
         self.epoch = epoch
         self._text: str | None = text
-        self._packed: bytes | tuple[bytes] = b""
+        self._compressed: bytes | tuple[bytes] = b""
 
     @property
     def text(self) -> str:
-        """The record's text, unpacked for this one look if need be."""
+        """The text of the record; decompressed on each access when necessary."""
         if self._text is not None:
             return self._text
-        return unpack_text(self._packed)
+        return decompress_text(self._compressed)
 
     @property
-    def is_packed(self) -> bool:
-        """Whether the text is kept packed."""
+    def is_compressed(self) -> bool:
+        """Whether only the compressed text is in memory."""
         return self._text is None
 
-    def pack(self) -> int:
-        """Keep the text packed from now on; return its length in characters."""
+    def compress(self) -> int:
+        """Compress the text in place; return its length in characters, 0 if done."""
         if self._text is None:
             return 0
         length = len(self._text)
-        self._packed = pack_text(self._text)
+        self._compressed = compress_text(self._text)
         self._text = None
         return length
 
-    def to_held(self) -> HeldRecord:
-        """Return the record as it goes to holders."""
+    def to_held_record(self) -> HeldRecord:
+        """Return the record in the form that is sent to holders."""
         return HeldRecord(epoch=self.epoch, text=self.text)
--- a/src/cedarchute/copies/messages.py
+++ b/src/cedarchute/copies/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the home of a program and the holders of its copies."""
+"""Messages between the owner of a program and the holders of its copies."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class AppendEntry(Message):
-    """Records of one program that follow on `start` records.
+    """Records of one program, to be appended at index `start`.
 
-    `previous_epoch` is the epoch of the record before `start`: a holder whose
-    record there is of another epoch has a tail that nobody kept.
+    `previous_epoch` is the epoch of the record before `start`. When a holder has
+    another epoch there, its tail was never acknowledged and is removed.
     """
 
     program: str
@@ -21,7 +21,7 @@
 
 
 class PartitionAppend(Message):
-    """Every entry of one partition in a batch."""
+    """The entries of one partition in a batch."""
 
     partition: str
     epoch: int
@@ -29,14 +29,14 @@
 
 
 class AppendRequest(Message):
-    """A batch from one box to one holder, over all its partitions."""
+    """A batch from one box to one holder; it can span partitions."""
 
     holder: str
     appends: tuple[PartitionAppend, ...]
 
 
 class PartitionAppended(Message):
-    """How many records of each program the holder has; `sealed` by an epoch."""
+    """Log lengths by program, or in `sealed` the epoch that rejected the append."""
 
     partition: str
     sealed: int | None = None
@@ -44,17 +44,18 @@
 
 
 class AppendReply(Message):
-    """The reply to a batch; `holder` is false when another storage is here now."""
+    """The reply to a batch; `holder` is false when the storage has another name."""
 
     holder: bool
     results: tuple[PartitionAppended, ...] = ()
 
 
 class SealRequest(Message):
-    """Asks a holder to refuse every epoch below `epoch`.
+    """Asks a holder to reject every epoch below `epoch`.
 
-    `owner_gone` says that the old owner is known to be gone or to have agreed;
-    without it the holder waits until it has not heard from the owner for long.
+    `owner_gone` means that the old owner is known to be gone or has agreed.
+    Without it the holder refuses until the owner has been silent for the
+    takeover period.
     """
 
     holder: str
@@ -71,7 +72,7 @@
 
 
 class SealReply(Message):
-    """The logs that a holder has; `refused` says why it did not seal."""
+    """Summaries of the stored logs; `refused` is the reason for not sealing."""
 
     refused: str | None = None
     logs: dict[str, LogSummary] = {}
--- a/src/cedarchute/copies/owned_partition.py
+++ b/src/cedarchute/copies/owned_partition.py
@@ -1,4 +1,4 @@
-"""A partition whose calls this box orders."""
+"""State of a partition that this box owns."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PartitionMovedError(Exception):
-    """Another box orders the calls of the partition now."""
+    """Another box owns the partition now."""
 
     code = "partition_moved"
 
@@ -25,12 +25,12 @@
 
 
 class OwnedPartition:
-    """What the owner of a partition knows of it.
+    """A partition with its logs, as its owner sees it.
 
     Attributes
     ----------
     gate : Semaphore
-        Held while the set of holders changes; appends wait for it.
+        Mutex of appends and of changes to the set of holders.
     confirmed_at : float
         Monotonic time of the start of the last exchange in which a quorum of
         holders accepted this box as the owner.
@@ -45,7 +45,7 @@
         self.is_lost = False
         self.is_handing_over = False
         self.is_recovering = False
-        self.confirmed: dict[str, float] = {}
+        self.confirmation_times: dict[str, float] = {}
         self.next_number = 0
 
     @property
@@ -65,18 +65,21 @@
         if quorum == 0:
             return float("inf")
         times = sorted(
-            (self.confirmed.get(h, float("-inf")) for h in self.record.holders),
+            (
+                self.confirmation_times.get(h, float("-inf"))
+                for h in self.record.holders
+            ),
             reverse=True,
         )
         return times[quorum - 1]
 
     def lose(self) -> None:
-        """Note that another box owns the partition; wake every waiter."""
+        """Mark the partition as owned by another box and wake all waiters."""
         if self.is_lost:
             return
         self.is_lost = True
         for log in self.logs.values():
-            log.wake()
+            log.notify_waiters()
 
     def check_owned(self) -> None:
         """Raise `PartitionMovedError` when another box owns the partition."""
@@ -85,7 +88,7 @@
 
 
 def make_copies_problem(verdict: Verdict) -> Problem:
-    """Return the problem of too few holders answering."""
+    """Return the problem for an append without a quorum of holders."""
     return Problem(
         "copies_unavailable",
         "Too few boxes can hold a copy of the record right now; ask again.",
--- a/src/cedarchute/copies/packed_text.py
+++ b/src/cedarchute/copies/packed_text.py
@@ -1,25 +1,25 @@
-"""Long texts kept compressed in memory."""
+"""In-memory compression of long texts."""
 
 from __future__ import annotations
 
 import zlib
 from typing import Final
 
-COMPRESS_ABOVE: Final = 512
-# The lowest level: the cost of packing must not show between two tokens.
-LEVEL: Final = 1
+MAX_UNCOMPRESSED_BYTES: Final = 512
+# The fastest level, since compression must not delay token streaming.
+COMPRESSION_LEVEL: Final = 1
 
 
-def pack_text(text: str) -> bytes | tuple[bytes]:
-    """Return a text as bytes, or as a tuple of compressed ones when it is long."""
+def compress_text(text: str) -> bytes | tuple[bytes]:
+    """Return short texts as bytes and long ones as a tuple of compressed bytes."""
     raw = text.encode()
-    if len(raw) <= COMPRESS_ABOVE:
+    if len(raw) <= MAX_UNCOMPRESSED_BYTES:
         return raw
-    return (zlib.compress(raw, LEVEL),)
+    return (zlib.compress(raw, COMPRESSION_LEVEL),)
 
 
-def unpack_text(packed: bytes | tuple[bytes]) -> str:
-    """Return the text that `pack_text` was given."""
-    if isinstance(packed, tuple):
-        return zlib.decompress(packed[0]).decode()
-    return packed.decode()
+def decompress_text(stored: bytes | tuple[bytes]) -> str:
+    """Return the original text of the result of `compress_text`."""
+    if isinstance(stored, tuple):
+        return zlib.decompress(stored[0]).decode()
+    return stored.decode()
--- a/src/cedarchute/copies/partition_copy.py
+++ b/src/cedarchute/copies/partition_copy.py
@@ -7,7 +7,7 @@
 
 @dataclass
 class StoredRecord:
-    """The epoch of a record and where its text is."""
+    """The epoch of a record and the storage handle of its text."""
 
     epoch: int
     handle: object
@@ -15,14 +15,14 @@
 
 @dataclass
 class PartitionCopy:
-    """The logs of the programs of a partition.
+    """The stored logs of the programs of a partition.
 
     Attributes
     ----------
     epoch : int
-        Appends of lower epochs are refused.
+        Appends of lower epochs are rejected.
     heard_at : float
-        Monotonic time of the last append of the owner.
+        Monotonic time of the last append from the owner.
     """
 
     epoch: int = 0
--- a/src/cedarchute/copies/program_log.py
+++ b/src/cedarchute/copies/program_log.py
@@ -1,4 +1,4 @@
-"""The log of one program at its home, and which holders have how much of it."""
+"""The log of one program at its owner, with the progress of each holder."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class ProgramLog:
-    """Records in order, with the length that each holder is known to have."""
+    """Ordered records, and the length that each holder has acknowledged."""
 
     def __init__(self, records: Iterable[HeldRecord] = ()) -> None:
         self.records = [LogRecord(held.epoch, held.text) for held in records]
-        self.packed = 0
+        self.compressed_count = 0
         self.matched: dict[str, int] = {}
         self.progress = Event()
 
@@ -28,35 +28,35 @@
         return len(self.records)
 
     def add(self, epoch: int, texts: Iterable[str]) -> None:
-        """Add records that the owner of `epoch` has written."""
+        """Append records under `epoch`."""
         self.records.extend(LogRecord(epoch, text) for text in texts)
 
-    def pack(self, most: int) -> int:
-        """Pack records that holders have, the oldest first.
+    def pack(self, max_characters: int) -> int:
+        """Compress records, the oldest first.
 
         Parameters
         ----------
-        most : int
-            About how many characters to pack at once.
+        max_characters : int
+            Stop after the record that reaches this number of characters.
 
         Returns
         -------
         int
-            How many characters were packed.
+            Number of characters that were compressed.
         """
-        done = 0
-        while self.packed < len(self.records) and done < most:
-            done += self.records[self.packed].pack()
-            self.packed += 1
-        return done
-
-    def on_matched(self, holder: str, length: int) -> None:
-        """Note that `holder` has the first `length` records."""
+        compressed = 0
+        while self.compressed_count < len(self.records) and compressed < max_characters:
+            compressed += self.records[self.compressed_count].compress()
+            self.compressed_count += 1
+        return compressed
+
+    def record_matched(self, holder: str, length: int) -> None:
+        """Record that `holder` has the first `length` records."""
         self.matched[holder] = length
-        self.wake()
+        self.notify_waiters()
 
-    def wake(self) -> None:
-        """Let every waiter look again."""
+    def notify_waiters(self) -> None:
+        """Wake every task in `wait`."""
         event, self.progress = self.progress, Event()
         event.send(None)
 
@@ -65,7 +65,7 @@
         return sum(1 for holder in holders if self.matched.get(holder, 0) >= length)
 
     def wait(self, seconds: float) -> bool:
-        """Wait for progress; return False when none came in time."""
+        """Wait for `notify_waiters`; return False on a timeout."""
         event = self.progress
         with eventlet.Timeout(seconds, False):
             event.wait()
--- a/src/cedarchute/copies/record_storage.py
+++ b/src/cedarchute/copies/record_storage.py
@@ -1,68 +1,68 @@
-"""Where a holder keeps what it holds."""
+"""Storage interface of a holder, with an in-memory implementation."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Protocol
 
-from cedarchute.copies.packed_text import pack_text, unpack_text
+from cedarchute.copies.packed_text import compress_text, decompress_text
 
 if TYPE_CHECKING:
     from cedarchute.copies.partition_copy import PartitionCopy
 
 
 class RecordStorage(Protocol):
-    """Keeps the text of records; told of every change that must last."""
+    """Stores the texts of records, and the changes that must be durable."""
 
     def load(self) -> dict[str, PartitionCopy]:
-        """Return what an earlier process on this storage held."""
+        """Return the copies that an earlier process stored."""
         ...
 
     def put(
         self, partition: str, program: str, index: int, epoch: int, text: str
     ) -> object:
-        """Keep the record at `index` of a program, the last one from now on."""
+        """Store the record at `index`, truncate the log after it; return its handle."""
         ...
 
     def get(self, handle: object) -> str:
-        """Return the text of a record."""
+        """Return the text of the record with this handle."""
         ...
 
-    def note_epoch(self, partition: str, epoch: int) -> None:
-        """Note that lower epochs of a partition are refused from now on."""
+    def record_epoch(self, partition: str, epoch: int) -> None:
+        """Store the minimum epoch that a partition accepts."""
         ...
 
-    def note_forgotten(self, partition: str, program: str | None) -> None:
-        """Note that a program, or the whole partition, is not held any more."""
+    def record_forgotten(self, partition: str, program: str | None) -> None:
+        """Store the deletion of a program, or of the partition when it is None."""
         ...
 
     def sync(self) -> None:
-        """Return when everything noted so far would survive a restart."""
+        """Block until all changes so far are durable."""
         ...
 
 
 class MemoryStorage:
-    """Keeps texts in memory, long ones compressed; nothing survives a restart."""
+    """Keeps texts in memory, long ones compressed; lost on a restart."""
 
     def load(self) -> dict[str, PartitionCopy]:
-        """Return nothing: a new process holds nothing."""
+        """Return no copies, since nothing survives a restart."""
         return {}
 
     def put(
         self, partition: str, program: str, index: int, epoch: int, text: str
     ) -> object:
-        """Keep `text` and return its handle."""
+        """Return the handle of `text`, which is the text itself, perhaps compressed."""
         del partition, program, index, epoch
-        return pack_text(text)
+        return compress_text(text)
 
     def get(self, handle: object) -> str:
         """Return the text of `handle`."""
         assert isinstance(handle, (bytes, tuple))
-        return unpack_text(handle)
+        return decompress_text(handle)
 
-    def note_epoch(self, partition: str, epoch: int) -> None:
+    def record_epoch(self, partition: str, epoch: int) -> None:
         """Do nothing."""
 
-    def note_forgotten(self, partition: str, program: str | None) -> None:
+    def record_forgotten(self, partition: str, program: str | None) -> None:
         """Do nothing."""
 
     def sync(self) -> None:
--- a/src/cedarchute/copies/replicator.py
+++ b/src/cedarchute/copies/replicator.py
@@ -1,4 +1,4 @@
-"""Writes records ahead: nothing is visible before a quorum of holders has it."""
+"""Write-ahead replication of records to a quorum of holders."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 log = logging.getLogger("cedarchute.copies")
 
-OWNED_SHARE: Final = 0.5
+CONFIRMATION_AGE_SHARE: Final = 0.5
 CONFIRM_POLL_SECONDS: Final = 0.05
 
 
@@ -35,8 +35,8 @@
     Parameters
     ----------
     takeover_seconds : float
-        No holder lets another box take over sooner than this after it has heard
-        from the owner, unless the owner is known to be gone.
+        Minimum time after an append before a holder lets another box take over,
+        unless the owner is known to be gone.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.links: dict[str, HolderLink] = {}
 
     def link(self, holder: str) -> HolderLink:
-        """Return the link to `holder`, made on first use."""
+        """Return the link to `holder`, created on first use."""
         if holder not in self.links:
             self.links[holder] = HolderLink(
                 holder,
@@ -81,12 +81,12 @@
         *,
         is_sent: bool = True,
     ) -> int:
-        """Add `records` to a log; return the index of the first.
+        """Append `records` to a log; return the index of the first.
 
         Parameters
         ----------
         is_sent : bool
-            Send them at once; otherwise they go with the next ones.
+            Send them at once; otherwise they are sent with later records.
 
         Raises
         ------
@@ -100,24 +100,24 @@
             program_log.add(partition.epoch, [r.to_json() for r in records])
             if not is_sent:
                 return start
-            preferred = max(self.settings.wanted, partition.record.quorum)
+            preferred_count = max(self.settings.wanted, partition.record.quorum)
             holders = partition.record.holders
-            for holder in (*holders[:preferred], *partition.joining):
+            for holder in (*holders[:preferred_count], *partition.joining):
                 self.link(holder).mark(partition.name, program)
         return start
 
     def wait_kept(self, partition: OwnedPartition, program: str, length: int) -> None:
-        """Return when a quorum of holders has `length` records of a program.
+        """Block until a quorum of holders has `length` records of a program.
 
-        The spare holders are asked when the preferred ones are late.
+        Sends to the spare holders as well when the preferred ones are late.
 
         Raises
         ------
         PartitionMovedError
             When another box owns the partition now.
         Problem
-            ``copies_unavailable`` with verdict ``may have run``: the records may
-            or may not survive this box.
+            ``copies_unavailable`` with verdict ``may have run``, on a timeout: it
+            is unknown whether the records would survive a failure of this box.
         """
         program_log = partition.logs[program]
         started = self.clock.monotonic()
@@ -136,40 +136,41 @@
                 self.metrics.count("copies.spare_asked")
                 for holder in record.holders:
                     self.link(holder).mark(partition.name, program)
-            until_spare = self.settings.spare_after_seconds - waited
-            program_log.wait(until_spare if until_spare > 0 else 0.25)
+            spare_delay = self.settings.spare_after_seconds - waited
+            program_log.wait(spare_delay if spare_delay > 0 else 0.25)
 
     def confirm_owned(self, partition: OwnedPartition) -> None:
-        """Make sure that no other box can have taken over by now.
+        """Block until a quorum has recently confirmed this box as the owner.
 
-        A box that was paused finds out here, before it says or sends anything.
+        Keeps a box that was paused from responding or dispatching after another
+        one took over.
 
         Raises
         ------
         PartitionMovedError
             When another box owns the partition.
         Problem
-            ``copies_unavailable`` when the holders do not answer.
+            ``copies_unavailable`` when no quorum responds in time.
         """
         partition.check_owned()
-        if self.is_fresh(partition):
+        if self.is_recently_confirmed(partition):
             return
         for holder in partition.record.holders:
             self.link(holder).ping(partition.name)
         deadline = self.clock.monotonic() + self.settings.append_seconds
-        while not self.is_fresh(partition):
+        while not self.is_recently_confirmed(partition):
             partition.check_owned()
             if self.clock.monotonic() > deadline:
                 raise make_copies_problem(Verdict.MAY_HAVE_RUN)
             eventlet.sleep(CONFIRM_POLL_SECONDS)
 
-    def is_fresh(self, partition: OwnedPartition) -> bool:
-        """Return whether a quorum confirmed the owner a short while ago."""
+    def is_recently_confirmed(self, partition: OwnedPartition) -> bool:
+        """Return whether the last confirmation still excludes a takeover."""
         age = self.clock.monotonic() - partition.confirmed_at
-        return age < self.takeover_seconds * OWNED_SHARE
+        return age < self.takeover_seconds * CONFIRMATION_AGE_SHARE
 
     def forget(self, partition: OwnedPartition, program: str) -> None:
-        """Drop a program whose answers need not be kept any longer."""
+        """Delete the log of a program here and on its holders."""
         partition.logs.pop(program, None)
         for holder in partition.record.holders:
             self.link(holder).forget(partition.name, program)
--- a/src/experiments/mutations.py
+++ b/src/experiments/mutations.py
@@ -56,14 +56,14 @@
     Mutation(
         "a holder waits before it seals a silent owner",
         "copies/holder.py",
-        "and silent < self.takeover_seconds",
+        "and silent_seconds < self.takeover_seconds",
         "and False",
         "tests/copies/test_holder.py",
     ),
     Mutation(
         "an owner confirms that it is one before it sends or refuses",
         "copies/replicator.py",
-        "if self.is_fresh(partition):",
+        "if self.is_recently_confirmed(partition):",
         "if True:",
         WRITE_AHEAD,
     ),
--- a/tests/copies/test_holder.py
+++ b/tests/copies/test_holder.py
@@ -87,14 +87,14 @@
     first = Holder("h", storage, TAKEOVER_SECONDS, StillClock(), Metrics())
     first.on_append(make_append("h", 1, 0, 0, "a", "b"))
     first.on_append(make_append("h", 4, 1, 1, "c"))
-    storage.lock.close()
+    storage.lock_file.close()
     second = Holder(
         "h", DiskStorage(tmp_path), TAKEOVER_SECONDS, StillClock(), Metrics()
     )
     assert read(second) == [(1, "a"), (4, "c")]
     refused = second.on_append(make_append("h", 3, 2, 4, "late"))
     assert refused.results[0].sealed == 4
-    # What was heard before the restart counts as heard just now.
+    # The takeover period of the owner starts again with the restart.
     assert seal(second, 5).refused == "owner heard"
 
 
@@ -102,7 +102,7 @@
     storage = DiskStorage(tmp_path)
     first = Holder("h", storage, TAKEOVER_SECONDS, StillClock(), Metrics())
     first.on_append(make_append("h", 1, 0, 0, "a", "b"))
-    storage.lock.close()
+    storage.lock_file.close()
     journal = tmp_path / "copies.journal"
     whole = journal.read_bytes()
     for length in range(len(whole) - 30, len(whole)):
@@ -110,14 +110,14 @@
         torn = DiskStorage(tmp_path)
         second = Holder("h", torn, TAKEOVER_SECONDS, StillClock(), Metrics())
         assert read(second) in ([(1, "a")], [])
-        torn.lock.close()
+        torn.lock_file.close()
 
 
 def test_damage_in_the_journal_ends_it(tmp_path):
     storage = DiskStorage(tmp_path)
     first = Holder("h", storage, TAKEOVER_SECONDS, StillClock(), Metrics())
     first.on_append(make_append("h", 1, 0, 0, "a", "b"))
-    storage.lock.close()
+    storage.lock_file.close()
     journal = tmp_path / "copies.journal"
     data = bytearray(journal.read_bytes())
     data[-1] ^= 1
