--- a/src/cedarchute/border/__init__.py
+++ b/src/cedarchute/border/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers and operators."""
+"""HTTP interfaces for callers, boxes and operators."""
--- a/src/cedarchute/border/answers.py
+++ b/src/cedarchute/border/answers.py
@@ -1,4 +1,4 @@
-"""The documents and events in which callers get answers."""
+"""Builds the JSON documents and server-sent events that callers receive."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def make_answer(program: str, outcome: CallFinished) -> dict[str, Any]:
-    """Return the whole answer of a call, with the names of chat completions.
+    """Return the complete response of a call in the chat completions format.
+
+    A call that used no prompt tokens went to a plain service; its response has the
+    object type ``service.answer``.
 
     Raises
     ------
@@ -40,7 +43,7 @@
     }
     if outcome.prompt_tokens == 0:
         answer["object"] = "service.answer"
-        answer["answer"] = parse_loosely(outcome.text)
+        answer["answer"] = parse_json_or_text(outcome.text)
         return answer
     message = {"role": "assistant", "content": outcome.text}
     answer["choices"] = [
@@ -51,7 +54,7 @@
 
 
 def make_usage(outcome: CallFinished) -> dict[str, int]:
-    """Return what an answer cost."""
+    """Return the token usage of a call."""
     return {
         "prompt_tokens": outcome.prompt_tokens,
         "completion_tokens": outcome.completion_tokens,
@@ -61,28 +64,32 @@
     }
 
 
-def parse_loosely(text: str) -> Any:
-    """Return JSON as its value and anything else as text."""
+def parse_json_or_text(text: str) -> Any:
+    """Return the parsed value of JSON text, or the text itself if it is not JSON."""
     try:
         return json.loads(text)
     except ValueError:
         return text
 
 
-def make_piece_event(attempt: int, offset: int, text: str) -> bytes:
-    """Return the event of some text that ends at `offset` characters."""
+def make_delta_event(attempt: int, offset: int, text: str) -> bytes:
+    """Return an event with new text of a stream.
+
+    `offset` is the number of characters of the stream up to the end of `text`; it
+    forms the event ID from which a caller resumes.
+    """
     document = {"choices": [{"index": 0, "delta": {"content": text}}]}
     data = json.dumps(document)
     return f"id: {attempt}.{offset}\ndata: {data}\n\n".encode()
 
 
 def make_restart_event(attempt: int) -> bytes:
-    """Return the event that tells to drop the text so far."""
+    """Return the event that tells a caller to discard the text received so far."""
     return f"event: restart\nid: {attempt}.0\ndata: {{}}\n\n".encode()
 
 
-def make_end_events(program: str, outcome: CallFinished) -> bytes:
-    """Return the last events of a stream."""
+def make_final_events(program: str, outcome: CallFinished) -> bytes:
+    """Return the events that end a stream: finish reason and usage, or a problem."""
     try:
         make_answer(program, outcome)
     except Problem as problem:
@@ -98,17 +105,17 @@
 
 
 def make_problem_events(problem: Problem) -> bytes:
-    """Return the last events of a stream that failed."""
-    return make_refusal_events(json.dumps(problem.document).encode())
+    """Return the events that end a failed stream."""
+    return make_problem_document_events(json.dumps(problem.document).encode())
 
 
-def make_refusal_events(document: bytes) -> bytes:
-    """Return the last events of a stream from the document of its problem."""
+def make_problem_document_events(document: bytes) -> bytes:
+    """Return the events that end a failed stream, given a serialized problem."""
     return b"event: problem\ndata: " + document + b"\n\n" + DONE_EVENT
 
 
 def describe_program(program: Program, box: str) -> dict[str, Any]:
-    """Return what callers and operators may know of a program."""
+    """Return the description of a program for callers and operators."""
     opened = program.opened
     assert opened is not None
     return {
--- a/src/cedarchute/border/call_border.py
+++ b/src/cedarchute/border/call_border.py
@@ -1,4 +1,4 @@
-"""Takes calls at any box and answers them from the program's home."""
+"""Serves calls received by any box, forwarding them to the program's owner."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from cedarchute.border.answers import make_answer
 from cedarchute.border.call_exchange import ANSWER_MARGIN_SECONDS
-from cedarchute.border.call_problems import make_late_problem, make_reroute_response
+from cedarchute.border.call_problems import make_reroute_response, make_timeout_problem
 from cedarchute.border.forwarder import make_response
 from cedarchute.border.stream_relay import STREAM_TYPE, is_stream
 from cedarchute.border.web_app import make_json_response, make_problem_response
@@ -26,9 +26,10 @@
 
 
 class CallBorder:
-    """Answers a call as one document or as a stream.
+    """Answers a call with one document or a stream.
 
-    A call has a key, so asking again is safe: the home gives the answer it has.
+    Each call has an idempotency key, so a retry is safe: the owner of the program
+    returns the existing response.
     """
 
     def __init__(
@@ -46,21 +47,21 @@
         self.clock = clock
 
     def answer(self, exchange: CallExchange) -> Response:
-        """Return the answer of a call, whole or as a stream."""
+        """Return the response of a call, as a document or a stream."""
         try:
             return self.follower.follow(
                 exchange,
-                lambda: self.answer_here(exchange),
-                lambda box: self.answer_there(exchange, box),
+                lambda: self.answer_locally(exchange),
+                lambda box: self.answer_remotely(exchange, box),
             )
         except PartitionMovedError:
             return make_reroute_response()
 
-    def answer_here(self, exchange: CallExchange) -> Response:
-        """Answer from this box, which is the home."""
+    def answer_locally(self, exchange: CallExchange) -> Response:
+        """Serve a call of a program that this box owns."""
         run = self.finder.find(exchange)
         if exchange.is_stream:
-            events = self.relay.read(exchange, self.relay.read_here(exchange, run))
+            events = self.relay.read(exchange, self.relay.read_local(exchange, run))
             return Response(events, content_type=STREAM_TYPE, direct_passthrough=True)
         self.wait(exchange, run)
         if run.problem is not None:
@@ -69,31 +70,33 @@
         return make_json_response(make_answer(exchange.program, run.outcome))
 
     def wait(self, exchange: CallExchange, run: CallRun) -> None:
-        """Wait until a run is done.
+        """Wait until a run has finished.
 
         Raises
         ------
         PartitionMovedError
-            When the program moved meanwhile.
+            When another box took the program over in the meantime.
         Problem
-            ``answer_late`` when the run takes longer than the request allows.
+            ``answer_late`` when the run exceeds the timeout of the request.
         """
         started = self.clock.monotonic()
         limit = exchange.seconds + ANSWER_MARGIN_SECONDS
         while not run.is_done:
             if self.clock.monotonic() - started > limit:
-                raise make_late_problem()
+                raise make_timeout_problem()
             run.wait(1.0)
         if run.is_moved:
             raise PartitionMovedError(exchange.partition)
 
-    def answer_there(self, exchange: CallExchange, box: BoxRecord) -> Response:
-        """Answer from another box, which is the home."""
-        request = exchange.to(box)
+    def answer_remotely(self, exchange: CallExchange, box: BoxRecord) -> Response:
+        """Forward a call to `box`, which owns the program."""
+        request = exchange.make_forwarded_request(box)
         if not exchange.is_stream:
             return self.forwarder.fetch(request)
         answer = self.forwarder.open(request)
         if not is_stream(answer):
-            return make_response(answer, self.forwarder.read_whole(request, answer))
-        events = self.relay.read(exchange, self.relay.read_there(exchange, box, answer))
+            return make_response(answer, self.forwarder.read_body(request, answer))
+        events = self.relay.read(
+            exchange, self.relay.read_remote(exchange, box, answer)
+        )
         return make_response(answer, events)
--- a/src/cedarchute/border/call_exchange.py
+++ b/src/cedarchute/border/call_exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request for a call, as it is followed from box to box."""
+"""The state of a caller's request while it is served or forwarded."""
 
 from __future__ import annotations
 
@@ -18,14 +18,19 @@
 
 @dataclass
 class CallExchange:
-    """One caller's request as it is followed from box to box.
+    """A caller's request for a call, forwarded again when the owner changes.
 
     Attributes
     ----------
+    request : CallRequest or None
+        The call to run; None fetches the response of an earlier call.
+    seconds : float
+        Timeout of the request.
     is_forwarded : bool
-        Another box passed the request on; it is not passed on again.
+        Another box forwarded the request; it is not forwarded a second time.
     attempt, offset : int
-        How much of the stream the caller has.
+        Position of the stream, in characters of this attempt, that the caller has
+        received.
     """
 
     program: str
@@ -46,7 +51,7 @@
 
     @property
     def path(self) -> str:
-        """The path under which another box takes the same request."""
+        """The path of the request when forwarded to another box."""
         if self.request is None:
             stream = "?stream=1" if self.is_stream else ""
             return f"/v1/programs/{self.program}/calls/{self.key}{stream}"
@@ -54,12 +59,12 @@
 
     @property
     def method(self) -> str:
-        """The method under which another box takes the same request."""
+        """The HTTP method of the request when forwarded to another box."""
         return "GET" if self.request is None else "POST"
 
     @property
     def headers(self) -> dict[str, str]:
-        """The headers with which another box takes the same request."""
+        """The headers of the request when forwarded to another box."""
         return {
             "Content-Type": "application/json",
             "Idempotency-Key": self.key,
@@ -67,8 +72,8 @@
             "Last-Event-ID": f"{self.attempt}.{self.offset}",
         }
 
-    def to(self, box: BoxRecord) -> ForwardedRequest:
-        """Return the same request as another box takes it."""
+    def make_forwarded_request(self, box: BoxRecord) -> ForwardedRequest:
+        """Return the request to send to `box`."""
         return ForwardedRequest(
             partition=self.partition,
             box=box,
--- a/src/cedarchute/border/call_problems.py
+++ b/src/cedarchute/border/call_problems.py
@@ -1,4 +1,4 @@
-"""The problems of a call whose home cannot answer it now."""
+"""Problem responses for calls that the owner of the program can't answer now."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 if TYPE_CHECKING:
     from werkzeug.wrappers import Response
 
-COME_BACK_SECONDS: Final = 2.0
+RETRY_AFTER_SECONDS: Final = 2.0
 
 
 def make_reroute_response() -> Response:
-    """Return the answer to a box that took this one for the home."""
+    """Return the response to a box that forwarded a request to the wrong owner."""
     problem = Problem(
         "not_home",
-        "The program's home is another box; look for it again.",
+        "Another box owns the program; locate its owner again.",
         status=421,
         verdict=Verdict.MAY_HAVE_RUN,
-        retry_after=COME_BACK_SECONDS,
+        retry_after=RETRY_AFTER_SECONDS,
     )
     response = make_problem_response(problem)
     response.headers[REROUTE_HEADER] = "1"
     return response
 
 
-def make_home_lost_problem() -> Problem:
-    """Return the problem of a home that nobody has taken over yet."""
+def make_owner_lost_problem() -> Problem:
+    """Return the problem of a program whose owner is lost and not yet replaced."""
     return Problem(
         "home_lost",
-        "The box that orders the program's calls is gone and not replaced yet; "
-        "ask again with the same key.",
+        "The box that owns the program is lost and no other has taken over yet; "
+        "retry with the same key.",
         status=503,
         verdict=Verdict.MAY_HAVE_RUN,
-        retry_after=COME_BACK_SECONDS,
+        retry_after=RETRY_AFTER_SECONDS,
     )
 
 
-def make_late_problem() -> Problem:
-    """Return the problem of an answer that takes longer than allowed."""
+def make_timeout_problem() -> Problem:
+    """Return the problem of a call that exceeds the timeout of its request."""
     return Problem(
         "answer_late",
-        "The call is still in progress; fetch its answer later with its key.",
+        "The call is still in progress; fetch its response later with its key.",
         status=504,
         verdict=Verdict.MAY_HAVE_RUN,
-        retry_after=COME_BACK_SECONDS,
+        retry_after=RETRY_AFTER_SECONDS,
     )
--- a/src/cedarchute/border/caller_app.py
+++ b/src/cedarchute/border/caller_app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface towards callers."""
+"""The HTTP API for callers."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
     from cedarchute.settings.box_settings import ServingSection
 
 KEY_PATTERN: Final = re.compile(r"^[A-Za-z0-9._-]{1,128}$")
-DEFAULT_SECONDS: Final = 120.0
-SHORT_SECONDS: Final = 10.0
+DEFAULT_CALL_SECONDS: Final = 120.0
+SHORT_REQUEST_SECONDS: Final = 10.0
 
 
 class CallerApp(WebApp):
-    """Every route that callers use; also taken by boxes that pass requests on."""
+    """The routes of the caller API; other boxes use them to forward requests."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         follower: HomeFollower,
         forwarder: Forwarder,
         runner: CallRunner,
-        home: ProgramRegistry,
+        registry: ProgramRegistry,
         view: View,
         keeper: LeaseKeeper,
         settings: ServingSection,
@@ -65,7 +65,7 @@
         self.follower = follower
         self.forwarder = forwarder
         self.runner = runner
-        self.home = home
+        self.registry = registry
         self.view = view
         self.keeper = keeper
         self.settings = settings
@@ -81,7 +81,7 @@
         self.add("DELETE", f"{program}/calls/<key>", self.on_cancel)
 
     def on_entries(self, request: Request) -> Response:
-        """Tell which addresses to use, and for how long to keep the answer."""
+        """Return addresses that a caller may use, and how long to cache them."""
         boxes = choose_entries(
             self.keeper.record.region,
             request.args.get("failure_domain", ""),
@@ -96,24 +96,26 @@
         return make_json_response({"entries": entries, "keep_seconds": keep})
 
     def on_open(self, request: Request) -> Response:
-        """Open a program here, or at its parent's home, or elsewhere if leaving."""
+        """Open a program here, at its parent's owner, or elsewhere when draining."""
         message = self.read_message(request, OpenRequest)
         if message.parent is not None:
-            return self.at_home(request, message.parent, lambda: self.open(message))
+            return self.answer_at_owner(
+                request, message.parent, lambda: self.open(message)
+            )
         if self.keeper.record.is_leaving and HOPS_HEADER not in request.headers:
-            return self.open_elsewhere(request)
+            return self.forward_open(request)
         return self.open(message)
 
     def open(self, message: OpenRequest) -> Response:
         """Open a program on this box."""
-        program = self.home.open(message)
+        program = self.registry.open(message)
         record = self.keeper.record
         document = describe_program(program, record.name)
         document["home_address"] = str(record.caller_address)
         return make_json_response(document, 201)
 
-    def open_elsewhere(self, request: Request) -> Response:
-        """Pass the opening of a program on to a box that stays."""
+    def forward_open(self, request: Request) -> Response:
+        """Forward the opening of a program to a box that is not draining."""
         boxes = [b for b in self.view.entries if b.name != self.keeper.record.name]
         if boxes:
             box = self.random_source.choice(boxes)
@@ -123,47 +125,47 @@
                 self.metrics.count_retry("open_elsewhere")
         raise Problem(
             "leaving",
-            "This box is leaving; ask GET /v1/entries for another.",
+            "This box is draining; get another address from GET /v1/entries.",
             status=503,
             retry_after=1.0,
         )
 
     def on_show(self, request: Request, program: str) -> Response:
         """Describe a program."""
-        return self.at_home(
+        return self.answer_at_owner(
             request,
             program,
             lambda: make_json_response(
-                describe_program(self.home.find(program), self.keeper.record.name)
+                describe_program(self.registry.find(program), self.keeper.record.name)
             ),
         )
 
     def on_end(self, request: Request, program: str) -> Response:
-        """End a program; what it holds on engines is released."""
-        return self.at_home(request, program, lambda: self.end(program))
+        """End a program and release its cache on the engines."""
+        return self.answer_at_owner(request, program, lambda: self.end(program))
 
     def end(self, program_id: str) -> Response:
-        """End a program whose home is here, and cancel its calls."""
-        program = self.home.find(program_id)
+        """End a program that this box owns, and cancel its calls."""
+        program = self.registry.find(program_id)
         program.is_ending = True
         for key in list(program.runs):
             self.runner.cancel(program, key)
-        self.home.end(program, "ended by its caller")
+        self.registry.end(program, "ended by its caller")
         return make_json_response({"program": program_id, "state": "ended"})
 
     def on_call(self, request: Request, program: str) -> Response:
-        """Run a call, or give the answer that its key already has."""
+        """Run a call, or return the response that its key already has."""
         message = self.read_message(request, CallRequest)
         key = self.read_key(request.headers.get("Idempotency-Key", ""))
         exchange = self.make_exchange(request, program, key)
         exchange.request = message
         exchange.body = request.get_data()
         exchange.is_stream = message.stream
-        exchange.seconds = message.deadline_seconds or DEFAULT_SECONDS
+        exchange.seconds = message.deadline_seconds or DEFAULT_CALL_SECONDS
         return self.calls.answer(exchange)
 
     def on_fetch(self, request: Request, program: str, key: str) -> Response:
-        """Give a kept answer again, or follow a call in progress."""
+        """Return the stored response of a call, or wait for one in progress."""
         exchange = self.make_exchange(request, program, self.read_key(key))
         exchange.is_stream = request.args.get("stream") in ("1", "true")
         offset = request.args.get("offset", "")
@@ -172,23 +174,23 @@
         return self.calls.answer(exchange)
 
     def on_cancel(self, request: Request, program: str, key: str) -> Response:
-        """Stop a call in progress."""
+        """Cancel a call in progress."""
         self.read_key(key)
-        return self.at_home(request, program, lambda: self.cancel(program, key))
+        return self.answer_at_owner(request, program, lambda: self.cancel(program, key))
 
     def cancel(self, program_id: str, key: str) -> Response:
-        """Stop a call of a program whose home is here."""
-        self.runner.cancel(self.home.find(program_id), key)
+        """Cancel a call of a program that this box owns."""
+        self.runner.cancel(self.registry.find(program_id), key)
         return make_json_response({"program": program_id, "key": key})
 
     def make_exchange(self, request: Request, program: str, key: str) -> CallExchange:
-        """Return the exchange of a request, from where its caller has the stream."""
+        """Return the exchange of a request, starting at its ``Last-Event-ID``."""
         exchange = CallExchange(
             program=program,
             key=key,
             request=None,
             body=None,
-            seconds=DEFAULT_SECONDS,
+            seconds=DEFAULT_CALL_SECONDS,
             is_stream=False,
             is_forwarded=HOPS_HEADER in request.headers,
             request_id=current_request_id(),
@@ -208,7 +210,13 @@
         return f"{self.keeper.record.identity}-{self.request_count}"
 
     def read_key(self, key: str) -> str:
-        """Return a checked key."""
+        """Return `key` if it is a valid idempotency key.
+
+        Raises
+        ------
+        Problem
+            ``bad_key`` when it is missing or malformed.
+        """
         if KEY_PATTERN.match(key):
             return key
         self.metrics.count_refusal("bad_key")
@@ -217,27 +225,29 @@
             "Send a header Idempotency-Key of 1 to 128 letters, digits, '.', '_', '-'.",
         )
 
-    def at_home(self, request: Request, program: str, here: object) -> Response:
-        """Answer a short request at a program's home."""
+    def answer_at_owner(
+        self, request: Request, program: str, handle_locally: object
+    ) -> Response:
+        """Serve a short request if this box owns the program, else forward it."""
         exchange = self.make_exchange(request, program, "none")
-        exchange.seconds = SHORT_SECONDS
+        exchange.seconds = SHORT_REQUEST_SECONDS
         try:
             return self.follower.follow(
                 exchange,
-                here,  # type: ignore[arg-type]
+                handle_locally,  # type: ignore[arg-type]
                 lambda box: self.forward(request, box, exchange.partition),
             )
         except PartitionMovedError:
             return make_reroute_response()
 
     def forward(self, request: Request, box: BoxRecord, partition: str) -> Response:
-        """Pass a short request on to another box.
+        """Forward a short request to another box.
 
         Raises
         ------
         Problem
-            ``answer_lost`` when an opening was sent and its answer did not come;
-            the unused program ends by itself.
+            ``answer_lost`` when a program was to be opened and no response came;
+            an unused program ends after its idle timeout.
         """
         forwarded = ForwardedRequest(
             partition=partition,
@@ -249,8 +259,8 @@
                 "Content-Type": "application/json",
                 REQUEST_ID_HEADER: current_request_id(),
             },
-            # The other box may wait for that long itself, and is to say so first.
-            seconds=SHORT_SECONDS + ANSWER_MARGIN_SECONDS,
+            # Leaves the other box time to report that its own timeout expired.
+            seconds=SHORT_REQUEST_SECONDS + ANSWER_MARGIN_SECONDS,
         )
         try:
             return self.forwarder.fetch(forwarded)
@@ -259,7 +269,7 @@
                 raise
             raise Problem(
                 "answer_lost",
-                "The program may have been opened; open another, this one ends idle.",
+                "The program may have been opened; open another, this one expires.",
                 status=503,
                 verdict=Verdict.MAY_HAVE_RUN,
                 retry_after=1.0,
--- a/src/cedarchute/border/entry_choice.py
+++ b/src/cedarchute/border/entry_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the entries that a caller is told."""
+"""Chooses the boxes that a caller may send requests to."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
     from cedarchute.membership.box_record import BoxRecord
 
-MOST_ENTRIES: Final = 16
+MAX_ENTRIES: Final = 16
 
 
 def choose_entries(
@@ -19,17 +19,18 @@
     boxes: Iterable[BoxRecord],
     random_source: random.Random,
 ) -> list[BoxRecord]:
-    """Return some entries, near ones first, others only to fill up.
+    """Return up to `MAX_ENTRIES` boxes, those nearest to the caller first.
 
-    An answer is bounded, and a caller's programs stay in the region that it asked,
-    because homes and copies stay in a region too. Chance spreads the callers.
+    Boxes of the same region come first because a program's owner and replicas stay in
+    one region; then those of the caller's failure domain. The order within each group
+    is random, which spreads callers over the boxes.
 
     Parameters
     ----------
     region : str
-        That of the box that is asked.
+        Region of the box that received the request.
     failure_domain : str
-        That of the caller, when it says so; otherwise empty.
+        Failure domain of the caller; empty when unknown.
     """
     shuffled = list(boxes)
     random_source.shuffle(shuffled)
@@ -37,4 +38,4 @@
         shuffled,
         key=lambda box: (box.region != region, box.failure_domain != failure_domain),
     )
-    return near[:MOST_ENTRIES]
+    return near[:MAX_ENTRIES]
--- a/src/cedarchute/border/event_buffer.py
+++ b/src/cedarchute/border/event_buffer.py
@@ -1,4 +1,4 @@
-"""Cuts the stream of another box into what can be passed on at once."""
+"""Splits the stream of another box into chunks that can be forwarded."""
 
 from __future__ import annotations
 
@@ -8,51 +8,54 @@
 from cedarchute.border.answers import DONE_EVENT
 
 EVENT_END: Final = b"\n\n"
-# A whole line: text may hold "id: " too, but is JSON and has no line ends.
-POSITION_LINE: Final = re.compile(rb"^id: (\d+)\.(\d+)$", re.MULTILINE)
+# Matches a whole line: text may contain "id: " too, but JSON escapes its line ends.
+POSITION_PATTERN: Final = re.compile(rb"^id: (\d+)\.(\d+)$", re.MULTILINE)
 
 
 class EventBuffer:
-    """Gives out whole events, and those of the end of a stream all together.
+    """Releases complete events, and the final events of a stream all at once.
 
-    Every event but those of the end has a position, from which another home can go on.
-    A caller that got half of the end would take its answer for whole, although a
-    problem may follow when nobody takes the home over.
+    Every event but the final ones has a position, from which the next owner resumes the
+    stream. A caller that received only some of the final events would take its response
+    for complete, although a problem may follow if no box takes the program over.
 
     Attributes
     ----------
     attempt, offset : int
-        The position of the last event that was given out.
-    is_whole : bool
-        The end of the stream was given out.
+        The position of the last event released.
+    is_complete : bool
+        The end of the stream was released.
     """
 
     def __init__(self, attempt: int = 0, offset: int = 0) -> None:
         self.attempt = attempt
         self.offset = offset
-        self.rest = b""
-        self.is_whole = False
+        self.pending = b""
+        self.is_complete = False
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take in some bytes; return what can be passed on, maybe nothing."""
-        self.rest += chunk
-        end = self.find_end()
-        if self.rest.endswith(DONE_EVENT):
-            end = len(self.rest)
-            self.is_whole = True
-        data, self.rest = self.rest[:end], self.rest[end:]
+        """Buffer `chunk`; return the bytes that can be forwarded, possibly none."""
+        self.pending += chunk
+        end = self.find_resumable_end()
+        if self.pending.endswith(DONE_EVENT):
+            end = len(self.pending)
+            self.is_complete = True
+        data, self.pending = self.pending[:end], self.pending[end:]
         return data
 
-    def find_end(self) -> int:
-        """Return where the last whole event that has a position ends; 0 for none."""
-        whole = self.rest.rfind(EVENT_END)
-        if whole < 0:
+    def find_resumable_end(self) -> int:
+        """Return the end of the last complete event with a position; 0 for none.
+
+        Also sets `attempt` and `offset` to the position of that event.
+        """
+        last_end = self.pending.rfind(EVENT_END)
+        if last_end < 0:
             return 0
-        position = None
-        for match in POSITION_LINE.finditer(self.rest, 0, whole):
-            position = match
-        if position is None:
+        last_match = None
+        for match in POSITION_PATTERN.finditer(self.pending, 0, last_end):
+            last_match = match
+        if last_match is None:
             return 0
-        self.attempt = int(position[1])
-        self.offset = int(position[2])
-        return self.rest.index(EVENT_END, position.end()) + len(EVENT_END)
+        self.attempt = int(last_match[1])
+        self.offset = int(last_match[2])
+        return self.pending.index(EVENT_END, last_match.end()) + len(EVENT_END)
--- a/src/cedarchute/border/forwarded_request.py
+++ b/src/cedarchute/border/forwarded_request.py
@@ -1,4 +1,4 @@
-"""A request as one box passes it on to another."""
+"""A request that one box forwards to another."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 @dataclass(frozen=True)
 class ForwardedRequest:
-    """What the other box is to answer, and how long this one waits for it.
+    """A request to forward, and how long to wait for its response.
 
     Attributes
     ----------
     partition : str
-        The partition of the program; the wait ends when `box` no longer owns it.
+        Partition of the program, empty for none; the wait ends when `box` no longer
+        owns it.
     seconds : float
-        How long the other box may say nothing.
+        Read timeout: the longest time without data from the other box.
     """
 
     partition: str
--- a/src/cedarchute/border/forwarder.py
+++ b/src/cedarchute/border/forwarder.py
@@ -1,4 +1,4 @@
-"""Passes requests on to the box that is a program's home."""
+"""Forwards requests to the box that owns a program."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 HOPS_HEADER: Final = "Cedarchute-Hops"
 REROUTE_HEADER: Final = "Cedarchute-Reroute"
-CONNECTIONS: Final = 128
-HOSTS: Final = 128
+MAX_CONNECTIONS_PER_HOST: Final = 128
+MAX_HOSTS: Final = 128
 CONNECT_SECONDS: Final = 1.0
-PASSED_HEADERS: Final = (
+FORWARDED_HEADERS: Final = (
     "Content-Type",
     "Retry-After",
     "Cedarchute-Verdict",
@@ -35,21 +35,21 @@
 
 
 class Forwarder:
-    """Sends a request one hop further and returns the response as it comes."""
+    """Forwards requests to other boxes over pooled connections."""
 
     def __init__(self, view: View, watch: OwnerWatch, metrics: Metrics) -> None:
         self.view = view
         self.watch = watch
         self.metrics = metrics
-        self.pools = HostPools(CONNECTIONS, HOSTS)
+        self.pools = HostPools(MAX_CONNECTIONS_PER_HOST, MAX_HOSTS)
 
     def open(self, request: ForwardedRequest) -> BaseHTTPResponse:
-        """Send a request to another box; the response is not read yet.
+        """Send a request to another box; return the response with its body unread.
 
         Raises
         ------
         RerouteError
-            When the box does not answer, or is not the home.
+            When the box does not respond, or does not own the program.
         """
         self.metrics.count("forwarded")
         box = request.box
@@ -74,21 +74,21 @@
         if REROUTE_HEADER in response.headers:
             response.drain_conn()
             response.release_conn()
-            raise RerouteError("not the home", was_sent=False)
+            raise RerouteError("the box does not own the program", was_sent=False)
         return response
 
     def fetch(self, request: ForwardedRequest) -> Response:
-        """Send a request to another box and return its whole response."""
+        """Send a request to another box and return the complete response."""
         answer = self.open(request)
-        return make_response(answer, self.read_whole(request, answer))
+        return make_response(answer, self.read_body(request, answer))
 
-    def read_whole(self, request: ForwardedRequest, answer: BaseHTTPResponse) -> bytes:
-        """Return the body of a response that is no stream.
+    def read_body(self, request: ForwardedRequest, answer: BaseHTTPResponse) -> bytes:
+        """Return the body of a response that is not a stream.
 
         Raises
         ------
         RerouteError
-            When it breaks off, or the box is not the home any more.
+            When the connection fails, or the box no longer owns the program.
         """
         try:
             with self.watch.waiting(request.partition, request.box.identity):
@@ -101,9 +101,11 @@
 
 
 def make_response(answer: BaseHTTPResponse, data: bytes | Iterator[bytes]) -> Response:
-    """Return another box's response as one of this box."""
+    """Return the response for the caller, with `data` as its body."""
     headers = {
-        name: answer.headers[name] for name in PASSED_HEADERS if name in answer.headers
+        name: answer.headers[name]
+        for name in FORWARDED_HEADERS
+        if name in answer.headers
     }
     return Response(
         data, status=answer.status, headers=headers, direct_passthrough=True
--- a/src/cedarchute/border/home_follower.py
+++ b/src/cedarchute/border/home_follower.py
@@ -1,4 +1,4 @@
-"""Follows a program to its home, and to its next home when that is lost."""
+"""Sends requests to the owner of a program, also while the owner changes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import eventlet
 
-from cedarchute.border.call_problems import make_home_lost_problem
+from cedarchute.border.call_problems import make_owner_lost_problem
 from cedarchute.border.reroute_error import RerouteError
 from cedarchute.copies.owned_partition import PartitionMovedError
 from cedarchute.problem import Problem
@@ -27,11 +27,11 @@
 
 log = logging.getLogger("cedarchute.border")
 
-REROUTE_SECONDS: Final = 0.1
+LOOKUP_RETRY_SECONDS: Final = 0.1
 
 
 class HomeFollower:
-    """Asks the home of a program, here or on another box."""
+    """Sends a request to the owner of a program, this box or another one."""
 
     def __init__(self, locator: HomeLocator, clock: Clock, metrics: Metrics) -> None:
         self.locator = locator
@@ -41,22 +41,30 @@
     def follow(
         self,
         exchange: CallExchange,
-        here: Callable[[], Response],
-        there: Callable[[BoxRecord], Response],
+        handle_locally: Callable[[], Response],
+        forward_to: Callable[[BoxRecord], Response],
     ) -> Response:
-        """Ask the home, and look for it again while it is not found.
+        """Send a request to the owner; retry until it responds or time runs out.
 
-        A home that has just taken the program over is waited for where it is, also
-        by a request that another box has passed on: a refusal would pass by itself,
-        and callers would get it in the middle of a stream.
+        An owner that is still recovering a program that it took over is retried, also
+        for a request that another box forwarded: otherwise callers would receive a
+        transient problem in the middle of a stream.
+
+        Parameters
+        ----------
+        handle_locally : callable
+            Serves the request if this box is the owner.
+        forward_to : callable
+            Forwards the request to the owner.
 
         Raises
         ------
         Problem
-            ``home_lost`` at once when waiting has no point, or after the time
-            that a takeover takes; ``recovering`` after that time.
+            ``home_lost`` when the owner was not found within the time that a takeover
+            takes, or at once while the store is unavailable; ``recovering`` when
+            the owner has not recovered within that time; ``unknown_program``.
         PartitionMovedError
-            When another box has passed the request on to the wrong home.
+            When another box forwarded the request and this box is not the owner.
         """
         partition = exchange.partition
         started = self.clock.monotonic()
@@ -64,12 +72,12 @@
             location = self.locator.locate(partition)
             recovering = None
             try:
-                if location.is_here:
-                    return here()
+                if location.is_local:
+                    return handle_locally()
                 if exchange.is_forwarded:
                     raise PartitionMovedError(partition)
                 if location.box is not None:
-                    return there(location.box)
+                    return forward_to(location.box)
             except Problem as problem:
                 if problem.code != RECOVERING_CODE:
                     raise
@@ -78,7 +86,7 @@
                 if exchange.is_forwarded:
                     raise
             except RerouteError as error:
-                log.info("Looking for %s again: %s.", exchange.program, error)
+                log.info("Locating the owner of %s again: %s.", exchange.program, error)
             if location.box is None and self.locator.is_unknown(partition):
                 raise Problem(
                     "unknown_program",
@@ -91,22 +99,22 @@
     def wait(
         self, exchange: CallExchange, started: float, recovering: Problem | None
     ) -> None:
-        """Wait a moment before the home is asked again.
+        """Sleep before the next attempt, unless the request has timed out.
 
         Raises
         ------
         Problem
-            When a request that came at `started` has waited for long enough:
-            `recovering` if that is what its home says, else ``home_lost``.
+            When the request, received at `started`, has waited for its maximum time:
+            `recovering` if the owner reported that, otherwise ``home_lost``.
         """
-        patience = self.locator.patience
+        max_wait_seconds = self.locator.owner_wait_seconds
         if recovering is not None:
-            patience = self.locator.takeover_patience
+            max_wait_seconds = self.locator.takeover_wait_seconds
         waited = self.clock.monotonic() - started
-        if waited >= min(patience, exchange.seconds):
-            refusal = recovering or make_home_lost_problem()
-            self.metrics.count_refusal(refusal.code)
-            log.info("Refused %s after %.1f s: %s.", exchange.program, waited, refusal)
-            raise refusal
+        if waited >= min(max_wait_seconds, exchange.seconds):
+            problem = recovering or make_owner_lost_problem()
+            self.metrics.count_refusal(problem.code)
+            log.info("Rejected %s after %.1f s: %s.", exchange.program, waited, problem)
+            raise problem
         self.metrics.count_retry("home_lookup")
-        eventlet.sleep(REROUTE_SECONDS)
+        eventlet.sleep(LOOKUP_RETRY_SECONDS)
--- a/src/cedarchute/border/home_locator.py
+++ b/src/cedarchute/border/home_locator.py
@@ -1,4 +1,4 @@
-"""Finds the home of a program, and waits a little while it moves."""
+"""Locates the owner of a program."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 @dataclass(frozen=True)
-class HomeLocation:
-    """Where a program's calls are ordered; neither when that is not known."""
+class OwnerLocation:
+    """The owner of a program: this box, another box, or unknown."""
 
-    is_here: bool = False
+    is_local: bool = False
     box: BoxRecord | None = None
 
 
 class HomeLocator:
-    """Answers from the view alone; nothing is asked of the store."""
+    """Locates owners from the local membership view, without reading the store."""
 
     def __init__(
         self,
@@ -35,39 +35,39 @@
         self.keeper = keeper
         self.takeover_seconds = takeover_seconds
 
-    def locate(self, partition: str) -> HomeLocation:
-        """Return where the programs of a partition are now."""
+    def locate(self, partition: str) -> OwnerLocation:
+        """Return the current owner of a partition."""
         owned = self.replicator.partitions.get(partition)
         if owned is not None and not owned.is_lost:
-            return HomeLocation(is_here=True)
+            return OwnerLocation(is_local=True)
         record = self.view.partitions.get(partition)
         identity = record.owner if record is not None else partition
         box = self.view.find_box(identity)
         if box is None or box.name == self.keeper.record.name:
-            return HomeLocation()
-        return HomeLocation(box=box)
+            return OwnerLocation()
+        return OwnerLocation(box=box)
 
     def is_unknown(self, partition: str) -> bool:
-        """Return whether no box knows a partition any more."""
+        """Return whether a partition has no record and its first owner was replaced."""
         if partition in self.view.partitions:
             return False
         return self.view.is_replaced(partition)
 
     @property
-    def patience(self) -> float:
-        """Seconds to wait for a home that does not answer.
+    def owner_wait_seconds(self) -> float:
+        """Maximum time to wait for an owner that does not respond.
 
-        While the store is down nobody takes over, so waiting has no point.
+        0 while the store is unavailable, since no box can take over then.
         """
         silent = self.keeper.clock.monotonic() - self.keeper.store_seen_at
         if silent > self.keeper.seconds:
             return 0.0
-        return self.takeover_patience
+        return self.takeover_wait_seconds
 
     @property
-    def takeover_patience(self) -> float:
-        """Seconds that a takeover takes at most, once its new owner is known.
+    def takeover_wait_seconds(self) -> float:
+        """Maximum duration of a takeover, once the new owner is known.
 
-        The new owner needs its holders for it, and not the store.
+        The new owner needs its holders to recover, but not the store.
         """
         return self.takeover_seconds * 2 + 2.0
--- a/src/cedarchute/border/owner_watch.py
+++ b/src/cedarchute/border/owner_watch.py
@@ -1,4 +1,4 @@
-"""Interrupts a wait for a home when another box has taken its programs over."""
+"""Interrupts requests to a box whose programs another box has taken over."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @dataclass(eq=False)
-class Wait:
-    """A task that waits for an answer from the owner of a partition."""
+class OwnerWait:
+    """A task that waits for a response from the owner of a partition."""
 
     task: greenlet
     partition: str
@@ -29,40 +29,40 @@
 
 
 class OwnerWatch:
-    """Throws `RerouteError` into the tasks that wait for a box that lost.
+    """Raises `RerouteError` in tasks that wait for a box that lost ownership.
 
-    A paused box, or one behind a cut link, neither answers nor refuses. Without
-    this a caller would wait for it until its deadline although another box has
-    its programs already.
+    A paused or partitioned box neither responds nor refuses connections. Without the
+    interrupt a caller would wait until its deadline although another box already
+    owns the program.
     """
 
     def __init__(self, view: View) -> None:
         self.view = view
-        self.waits: set[Wait] = set()
-        view.listeners.append(self.on_view)
+        self.waits: set[OwnerWait] = set()
+        view.listeners.append(self.on_view_change)
 
     @contextmanager
     def waiting(self, partition: str, owner: str) -> Iterator[None]:
-        """Run the block, interrupted when `owner` does not own `partition`.
+        """Interrupt the block when `owner` does not own `partition`.
 
-        The block must do nothing but wait for the owner: the error may come out
-        of any point at which it yields to other tasks.
+        The block must only wait for the owner: the error may be raised wherever it
+        yields to other tasks.
         """
-        wait = Wait(eventlet.getcurrent(), partition, owner)
+        wait = OwnerWait(eventlet.getcurrent(), partition, owner)
         self.waits.add(wait)
         try:
             yield
         finally:
             self.waits.discard(wait)
 
-    def on_view(self) -> None:
-        """Look which waits are in vain."""
+    def on_view_change(self) -> None:
+        """Interrupt the waits for boxes that no longer own their partition."""
         for wait in list(self.waits):
             record = self.view.partitions.get(wait.partition)
             if record is not None and record.owner != wait.owner:
                 get_hub().schedule_call_global(0, self.interrupt, wait)
 
-    def interrupt(self, wait: Wait) -> None:
-        """Throw into the task of `wait`, unless it has gone on."""
+    def interrupt(self, wait: OwnerWait) -> None:
+        """Raise the error in the task of `wait`, unless its wait has ended."""
         if wait in self.waits:
             wait.task.throw(RerouteError("the owner has changed", was_sent=True))
--- a/src/cedarchute/border/reroute_error.py
+++ b/src/cedarchute/border/reroute_error.py
@@ -1,12 +1,12 @@
-"""The error of a home that has to be looked for again."""
+"""The error of a request that has to be sent to another owner."""
 
 from __future__ import annotations
 
 
 class RerouteError(Exception):
-    """The home could not be reached or is elsewhere; look for it again.
+    """The owner can't be reached or has changed; locate it again.
 
-    `was_sent` is false when the request surely did not reach the other box.
+    `was_sent` is false only when the other box certainly did not process the request.
     """
 
     code = "reroute"
--- a/src/cedarchute/border/run_finder.py
+++ b/src/cedarchute/border/run_finder.py
@@ -1,4 +1,4 @@
-"""Finds the run of a call on the box that is its home."""
+"""Finds the run of a call on the box that owns its program."""
 
 from __future__ import annotations
 
@@ -15,21 +15,27 @@
 
 
 class RunFinder:
-    """Starts the run of a new call, and finds that of a known key."""
+    """Starts runs for new calls and finds those of known keys."""
 
-    def __init__(self, home: ProgramRegistry, runner: CallRunner) -> None:
-        self.home = home
+    def __init__(self, registry: ProgramRegistry, runner: CallRunner) -> None:
+        self.registry = registry
         self.runner = runner
 
     def find(self, exchange: CallExchange) -> CallRun:
-        """Return the run that a request asks for, started if it is new."""
-        program = self.home.find(exchange.program)
+        """Return the run of a request, starting it if the call is new.
+
+        Raises
+        ------
+        Problem
+            ``unknown_key`` when a response is fetched for a key without a run.
+        """
+        program = self.registry.find(exchange.program)
         if exchange.request is not None:
             return self.runner.start(program, exchange.key, exchange.request)
         run = self.runner.find(program, exchange.key)
         if run is None:
-            # The home before may have run a call that may be repeated: of these it
-            # kept no record before the outcome.
+            # A previous owner may have run the call: a repeatable call is recorded
+            # only with its outcome.
             may_have_run = program.takeover_count > 0
             raise Problem(
                 "unknown_key",
--- a/src/cedarchute/border/stream_relay.py
+++ b/src/cedarchute/border/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes the events of a call on, from whichever box is its home."""
+"""Streams the events of a call from the box that owns its program."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from werkzeug.wrappers import Response
 
 from cedarchute.border.answers import (
-    make_end_events,
-    make_piece_event,
+    make_delta_event,
+    make_final_events,
+    make_problem_document_events,
     make_problem_events,
-    make_refusal_events,
     make_restart_event,
 )
 from cedarchute.border.call_exchange import ANSWER_MARGIN_SECONDS
-from cedarchute.border.call_problems import make_late_problem
+from cedarchute.border.call_problems import make_timeout_problem
 from cedarchute.border.event_buffer import EventBuffer
 from cedarchute.border.reroute_error import RerouteError
 from cedarchute.problem import Problem
@@ -40,7 +40,7 @@
 
 
 class StreamRelay:
-    """Streams a call to its caller, on from its next home when one is lost."""
+    """Streams a call to its caller and resumes at the next owner after a loss."""
 
     def __init__(
         self,
@@ -59,44 +59,44 @@
         self.metrics = metrics
 
     def read(self, exchange: CallExchange, events: Iterator[bytes]) -> Iterator[bytes]:
-        """Yield events to the end, from the next home when one is lost."""
-        is_whole = yield from events
-        while not is_whole and not exchange.is_forwarded:
+        """Yield `events`; resume the stream at the next owner if it is interrupted."""
+        is_complete = yield from events
+        while not is_complete and not exchange.is_forwarded:
             self.metrics.count_retry("stream_home_lost")
             try:
-                events = self.find_events(exchange)
+                events = self.reopen_stream(exchange)
             except Problem as problem:
                 yield make_problem_events(problem)
                 return
-            is_whole = yield from events
+            is_complete = yield from events
 
-    def find_events(self, exchange: CallExchange) -> Iterator[bytes]:
-        """Return the rest of a stream from wherever the home is now."""
+    def reopen_stream(self, exchange: CallExchange) -> Iterator[bytes]:
+        """Return the rest of a stream from the current owner."""
         found: list[Iterator[bytes]] = []
 
-        def here() -> Response:
+        def open_local() -> Response:
             run = self.finder.find(exchange)
-            found.append(self.read_here(exchange, run))
+            found.append(self.read_local(exchange, run))
             return Response()
 
-        def there(box: BoxRecord) -> Response:
-            request = exchange.to(box)
+        def open_remote(box: BoxRecord) -> Response:
+            request = exchange.make_forwarded_request(box)
             answer = self.forwarder.open(request)
             if is_stream(answer):
-                found.append(self.read_there(exchange, box, answer))
+                found.append(self.read_remote(exchange, box, answer))
             else:
-                document = self.forwarder.read_whole(request, answer)
-                found.append(tell_refusal(document))
+                document = self.forwarder.read_body(request, answer)
+                found.append(stream_problem_document(document))
             return Response()
 
-        self.follower.follow(exchange, here, there)
+        self.follower.follow(exchange, open_local, open_remote)
         return found[0]
 
-    def read_here(self, exchange: CallExchange, run: CallRun) -> Iterator[bytes]:
-        """Yield what a run on this box streams; return whether it is whole.
+    def read_local(self, exchange: CallExchange, run: CallRun) -> Iterator[bytes]:
+        """Yield the events of a run on this box; return whether the stream is complete.
 
-        The first text goes out at once. After each event the task sleeps for a
-        moment, so that the tokens of that time go out as one event.
+        The first text is sent at once. After each event the task sleeps for
+        `coalesce_seconds`, so that the tokens of that time are sent as one event.
         """
         started = self.clock.monotonic()
         limit = exchange.seconds + ANSWER_MARGIN_SECONDS
@@ -109,7 +109,7 @@
             text = run.read_from(exchange.offset)
             if text:
                 exchange.offset += len(text)
-                yield make_piece_event(run.attempt, exchange.offset, text)
+                yield make_delta_event(run.attempt, exchange.offset, text)
                 if not run.is_done:
                     eventlet.sleep(self.coalesce_seconds)
                 continue
@@ -117,7 +117,7 @@
                 break
             run.wait(1.0)
             if self.clock.monotonic() - started > limit:
-                yield make_problem_events(make_late_problem())
+                yield make_problem_events(make_timeout_problem())
                 return True
         if run.is_moved:
             return False
@@ -125,19 +125,19 @@
             yield make_problem_events(run.problem)
         else:
             assert run.outcome is not None
-            yield make_end_events(exchange.program, run.outcome)
+            yield make_final_events(exchange.program, run.outcome)
         return True
 
-    def read_there(
+    def read_remote(
         self,
         exchange: CallExchange,
         box: BoxRecord,
         answer: urllib3.BaseHTTPResponse,
     ) -> Iterator[bytes]:
-        """Yield another box's events as they are; return whether they are whole.
+        """Yield another box's events unchanged; return whether the stream is complete.
 
-        Only whole events are passed on, so that a stream that breaks off can go on
-        from another box at the offset of the last one.
+        Only complete events are forwarded, so that an interrupted stream can be
+        resumed from another box at the offset of the last one.
         """
         buffer = EventBuffer(exchange.attempt, exchange.offset)
         try:
@@ -148,15 +148,15 @@
                     exchange.offset = buffer.offset
                     yield data
         except (urllib3.exceptions.HTTPError, OSError, RerouteError) as error:
-            log.info("Stream of %s broke off: %s.", exchange.program, error)
+            log.info("Stream of %s was interrupted: %s.", exchange.program, error)
         except BaseException:
             answer.close()
             raise
-        if buffer.is_whole:
+        if buffer.is_complete:
             answer.release_conn()
         else:
             answer.close()
-        return buffer.is_whole
+        return buffer.is_complete
 
     def read_chunk(
         self,
@@ -164,20 +164,21 @@
         box: BoxRecord,
         answer: urllib3.BaseHTTPResponse,
     ) -> bytes:
-        """Return what another box has sent, or wait until it does."""
+        """Return the next bytes from another box, waiting for them if needed."""
         with self.forwarder.watch.waiting(exchange.partition, box.identity):
             return answer.read1(65_536)
 
 
 def is_stream(answer: urllib3.BaseHTTPResponse) -> bool:
-    """Return whether another box answers with events."""
+    """Return whether a response of another box is an event stream."""
     return answer.headers.get("Content-Type", "").startswith(STREAM_TYPE)
 
 
-def tell_refusal(document: bytes) -> Iterator[bytes]:
-    """Yield another box's refusal as the end of a stream, with nothing behind it.
+def stream_problem_document(document: bytes) -> Iterator[bytes]:
+    """Yield another box's problem as the end of a stream.
 
-    A caller believes a problem: it would take the rest of the text for another answer.
+    The stream counts as complete: a caller takes a problem as final and must not
+    receive more text after it.
     """
-    yield make_refusal_events(document)
+    yield make_problem_document_events(document)
     return True
--- a/src/cedarchute/border/web_app.py
+++ b/src/cedarchute/border/web_app.py
@@ -1,4 +1,4 @@
-"""The base of the WSGI applications: routes, bodies and errors."""
+"""Base class of the WSGI applications: routing, request bodies and errors."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class WebApp:
-    """A WSGI application whose routes are methods of a subclass."""
+    """A WSGI application whose subclasses register their methods as routes."""
 
     def __init__(self, max_body_bytes: int, metrics: Metrics) -> None:
         self.max_body_bytes = max_body_bytes
@@ -48,13 +48,13 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request; each error becomes a problem document."""
-        # Without this, eventlet collects a stream into chunks of 8 KB.
+        """Serve one request; every error becomes a problem document."""
+        # Disables eventlet's buffering of streams into chunks of 8 KB.
         environ["eventlet.minimum_write_chunk_size"] = 0
         request = Request(environ)
         request.max_content_length = self.max_body_bytes
         request_id = self.read_request_id(request)
-        # A connection serves one request after the other in the same task.
+        # The task serves all requests of a connection, so set the ID for each one.
         set_request_id(request_id)
         try:
             endpoint, values = self.rules.bind_to_environ(environ).match()
@@ -66,7 +66,7 @@
             response = make_problem_response(problem)
         except RequestEntityTooLarge:
             self.metrics.count_refusal("body_too_large")
-            detail = f"The body is over {self.max_body_bytes} bytes; send less."
+            detail = f"The request body exceeds {self.max_body_bytes} bytes."
             response = make_problem_response(
                 Problem("body_too_large", detail, status=413)
             )
@@ -79,7 +79,7 @@
             log.exception("Request %s %s failed.", request.method, request.path)
             problem = Problem(
                 "internal",
-                "The system failed; ask again.",
+                "Internal error; retry the request.",
                 status=500,
                 verdict=Verdict.MAY_HAVE_RUN,
             )
@@ -89,28 +89,30 @@
         return response(environ, start_response)
 
     def read_request_id(self, request: Request) -> str:
-        """Return the id of a request for the logs; empty for those between boxes."""
+        """Return the request ID for the logs; empty for requests between boxes."""
         del request
         return ""
 
     def read_message(self, request: Request, model: type[MessageT]) -> MessageT:
-        """Return the checked body of a request.
+        """Return the validated body of a request.
 
         Raises
         ------
         Problem
-            ``bad_body`` names the field at fault.
+            ``bad_body``, naming the invalid field.
         """
         data = request.get_data()
         try:
             return model.model_validate_json(data or b"{}")
         except ValidationError as error:
             self.metrics.count_refusal("bad_body")
-            raise Problem("bad_body", describe_fault(model, error)) from error
+            raise Problem(
+                "bad_body", describe_validation_error(model, error)
+            ) from error
 
 
-def describe_fault(model: type[Message], error: ValidationError) -> str:
-    """Return one sentence about the first fault of a body."""
+def describe_validation_error(model: type[Message], error: ValidationError) -> str:
+    """Return one sentence about the first validation error of a body."""
     fault = error.errors()[0]
     field = ".".join(str(part) for part in fault["loc"]) or "body"
     if fault["type"] == "extra_forbidden":
--- a/src/experiments/mutations.py
+++ b/src/experiments/mutations.py
@@ -127,8 +127,8 @@
     Mutation(
         "nothing follows the refusal of a stream",
         "border/stream_relay.py",
-        "found.append(tell_refusal(document))",
-        "found.append(iter([make_refusal_events(document)]))",
+        "found.append(stream_problem_document(document))",
+        "found.append(iter([make_problem_document_events(document)]))",
         "tests/border/test_stream_relay.py",
     ),
     Mutation(
--- a/tests/border/test_entry_choice.py
+++ b/tests/border/test_entry_choice.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from cedarchute.address import Address
-from cedarchute.border.entry_choice import MOST_ENTRIES, choose_entries
+from cedarchute.border.entry_choice import MAX_ENTRIES, choose_entries
 from cedarchute.membership.box_record import BoxRecord
 
 
@@ -31,7 +31,7 @@
 def test_an_answer_is_bounded_and_near_on_a_large_site():
     boxes = make_boxes(380, regions=7)
     chosen = choose_entries("r2", "d21", boxes, random.Random(1))
-    assert len(chosen) == MOST_ENTRIES
+    assert len(chosen) == MAX_ENTRIES
     assert {box.region for box in chosen} == {"r2"}
     assert {box.failure_domain for box in chosen} == {"d21"}
 
@@ -40,7 +40,7 @@
     boxes = [b for b in make_boxes(380, regions=7) if b.region != "r2"][:40]
     boxes += make_boxes(3, regions=1)
     chosen = choose_entries("r0", "", boxes, random.Random(1))
-    assert len(chosen) == MOST_ENTRIES
+    assert len(chosen) == MAX_ENTRIES
     assert chosen[0].region == "r0"
 
 
--- a/tests/border/test_event_buffer.py
+++ b/tests/border/test_event_buffer.py
@@ -5,7 +5,7 @@
 
 from cedarchute.border.answers import (
     DONE_EVENT,
-    make_piece_event,
+    make_delta_event,
     make_restart_event,
 )
 from cedarchute.border.event_buffer import EventBuffer
@@ -20,19 +20,19 @@
 @given(st.lists(TEXTS), st.lists(st.integers(0, 600)))
 def test_a_stream_cut_anywhere_comes_out_in_whole_events(texts, cuts):
     events = [make_restart_event(1)]
-    events += [make_piece_event(1, n, text) for n, text in enumerate(texts)]
+    events += [make_delta_event(1, n, text) for n, text in enumerate(texts)]
     events.append(END_EVENT + DONE_EVENT)
     stream = b"".join(events)
     ends = {len(b"".join(events[:n])) for n in range(len(events) + 1)}
     buffer = EventBuffer()
-    given_out = b""
+    released = b""
     edges = [0, *sorted(cut for cut in cuts if cut < len(stream)), len(stream)]
     for start, end in zip(edges, edges[1:], strict=False):
-        assert not buffer.is_whole
-        given_out += buffer.feed(stream[start:end])
-        assert len(given_out) in ends
-        assert len(given_out) == max(e for e in ends if e <= end)
+        assert not buffer.is_complete
+        released += buffer.feed(stream[start:end])
+        assert len(released) in ends
+        assert len(released) == max(e for e in ends if e <= end)
         given = [n for n in range(len(texts)) if len(b"".join(events[: n + 2])) <= end]
         assert buffer.offset == (given[-1] if given else 0)
-    assert given_out == stream
-    assert buffer.is_whole
+    assert released == stream
+    assert buffer.is_complete
--- a/tests/border/test_home_follower.py
+++ b/tests/border/test_home_follower.py
@@ -1,4 +1,4 @@
-"""A home that reads the records of a program is waited for, however one came to it."""
+"""Requests wait for an owner that is recovering, also when forwarded to it."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 from cedarchute.border.call_exchange import CallExchange
 from cedarchute.border.home_follower import HomeFollower
-from cedarchute.border.home_locator import HomeLocation
+from cedarchute.border.home_locator import OwnerLocation
 from cedarchute.metrics import Metrics
 from cedarchute.problem import Problem
 from cedarchute.programs.program_registry import make_recovering_problem
 
 ANSWER = object()
-PATIENCE_SECONDS = 5.0
+MAX_WAIT_SECONDS = 5.0
 
 
-class PassingClock(StillClock):
-    """Each look takes a second."""
+class TickingClock(StillClock):
+    """Advances by one second on each read."""
 
     def monotonic(self):
         self.now += 1.0
         return self.now
 
 
-class RecoveringHome:
-    """Refuses some requests before it answers."""
+class RecoveringOwner:
+    """Rejects a number of requests before it responds."""
 
-    def __init__(self, refusals):
-        self.refusals = refusals
+    def __init__(self, rejections):
+        self.rejections = rejections
 
     def answer(self):
-        if not self.refusals:
+        if not self.rejections:
             return ANSWER
-        self.refusals -= 1
+        self.rejections -= 1
         raise make_recovering_problem()
 
 
-def follow(home, *, is_forwarded=False, patience=PATIENCE_SECONDS):
+def follow(owner, *, is_forwarded=False, owner_wait_seconds=MAX_WAIT_SECONDS):
     locator = SimpleNamespace(
-        patience=patience,
-        takeover_patience=PATIENCE_SECONDS,
-        locate=lambda _: HomeLocation(is_here=True),
+        owner_wait_seconds=owner_wait_seconds,
+        takeover_wait_seconds=MAX_WAIT_SECONDS,
+        locate=lambda _: OwnerLocation(is_local=True),
         is_unknown=lambda _: False,
     )
     exchange = CallExchange(
@@ -56,22 +56,22 @@
         is_forwarded=is_forwarded,
         request_id="",
     )
-    follower = HomeFollower(locator, PassingClock(), Metrics())
-    return follower.follow(exchange, home.answer, None)
+    follower = HomeFollower(locator, TickingClock(), Metrics())
+    return follower.follow(exchange, owner.answer, None)
 
 
 @pytest.mark.parametrize("is_forwarded", [False, True])
 def test_a_home_that_recovers_is_waited_for(is_forwarded):
-    assert follow(RecoveringHome(2), is_forwarded=is_forwarded) is ANSWER
+    assert follow(RecoveringOwner(2), is_forwarded=is_forwarded) is ANSWER
 
 
 def test_a_home_that_recovers_needs_no_store():
-    assert follow(RecoveringHome(2), patience=0.0) is ANSWER
+    assert follow(RecoveringOwner(2), owner_wait_seconds=0.0) is ANSWER
 
 
 @pytest.mark.parametrize("is_forwarded", [False, True])
 def test_a_home_that_does_not_recover_says_when_to_come_back(is_forwarded):
     with pytest.raises(Problem) as raised:
-        follow(RecoveringHome(100), is_forwarded=is_forwarded)
+        follow(RecoveringOwner(100), is_forwarded=is_forwarded)
     assert raised.value.code == "recovering"
     assert raised.value.retry_after is not None
--- a/tests/border/test_run_finder.py
+++ b/tests/border/test_run_finder.py
@@ -15,11 +15,11 @@
 def test_an_unknown_key_is_not_said_not_to_have_run_after_a_takeover(
     takeovers, verdict
 ):
-    """A plain call that may be repeated leaves no record before its outcome."""
+    """A repeatable plain call is recorded only with its outcome."""
     program = SimpleNamespace(takeover_count=takeovers)
-    home = SimpleNamespace(find=lambda _: program)
+    registry = SimpleNamespace(find=lambda _: program)
     runner = SimpleNamespace(find=lambda *_: None)
     exchange = SimpleNamespace(program="p", key="ask", request=None)
     with pytest.raises(Problem) as raised:
-        RunFinder(home, runner).find(exchange)
+        RunFinder(registry, runner).find(exchange)
     assert raised.value.verdict is verdict
--- a/tests/border/test_stream_relay.py
+++ b/tests/border/test_stream_relay.py
@@ -1,4 +1,4 @@
-"""A stream goes on from the next home: its caller gets the rest of it or its end."""
+"""An interrupted stream resumes at the next owner or ends with a problem."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import urllib3
 from fakes import StillClock
 
-from cedarchute.border.answers import DONE_EVENT, make_piece_event
+from cedarchute.border.answers import DONE_EVENT, make_delta_event
 from cedarchute.border.call_exchange import CallExchange
 from cedarchute.border.forwarder import Forwarder
 from cedarchute.border.home_follower import HomeFollower
-from cedarchute.border.home_locator import HomeLocation
+from cedarchute.border.home_locator import OwnerLocation
 from cedarchute.border.reroute_error import RerouteError
 from cedarchute.border.stream_relay import StreamRelay
 from cedarchute.metrics import Metrics
@@ -22,12 +22,12 @@
 from cedarchute.verdict import Verdict
 
 PROGRAM = "p-box-1.1-1-1"
-HOME = SimpleNamespace(identity="box-2.1")
+OWNER = SimpleNamespace(identity="box-2.1")
 END_EVENT = b'data: {"choices": [{"finish_reason": "stop"}], "usage": {}}\n\n'
 
 
 class Answer:
-    """Another box's response, which breaks off unless it ends with its mark."""
+    """Another box's response, which fails when its chunks are used up."""
 
     def __init__(self, chunks, content_type="text/event-stream"):
         self.chunks = list(chunks)
@@ -49,7 +49,7 @@
 
 
 class ScriptedForwarder(Forwarder):
-    """Gives the answers that a test has written down, one a request."""
+    """Returns the given responses, one per request."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -59,12 +59,12 @@
     def open(self, request):
         self.positions.append(request.headers["Last-Event-ID"])
         if not self.answers:
-            raise RerouteError("nobody answers", was_sent=False)
+            raise RerouteError("no response", was_sent=False)
         return self.answers.pop(0)
 
 
-class PassingClock(StillClock):
-    """Each look takes a second."""
+class TickingClock(StillClock):
+    """Advances by one second on each read."""
 
     def monotonic(self):
         self.now += 1.0
@@ -79,14 +79,14 @@
 
 
 def read_stream(*answers):
-    """Return the forwarder, and what a caller gets of the first answer and the rest."""
+    """Return the forwarder and the stream that a caller receives."""
     forwarder = ScriptedForwarder(*answers[1:])
     locator = SimpleNamespace(
-        patience=5.0,
-        locate=lambda _: HomeLocation(box=HOME),
+        owner_wait_seconds=5.0,
+        locate=lambda _: OwnerLocation(box=OWNER),
         is_unknown=lambda _: False,
     )
-    clock = PassingClock()
+    clock = TickingClock()
     follower = HomeFollower(locator, clock, Metrics())
     relay = StreamRelay(None, follower, forwarder, 0.0, clock, Metrics())
     exchange = CallExchange(
@@ -99,17 +99,14 @@
         is_forwarded=False,
         request_id="",
     )
-    events = relay.read(exchange, relay.read_there(exchange, HOME, answers[0]))
+    events = relay.read(exchange, relay.read_remote(exchange, OWNER, answers[0]))
     return forwarder, b"".join(events)
 
 
 def test_a_refusal_of_the_next_home_ends_a_stream():
-    """The home of a program that is read through another box moves on.
-
-    The refusal of the next home came as an event, and the stream went on behind it.
-    """
-    piece = make_piece_event(0, 5, "Hello")
-    rest = Answer([make_piece_event(0, 10, " you."), END_EVENT + DONE_EVENT])
+    """No text may follow the problem that the next owner returns."""
+    piece = make_delta_event(0, 5, "Hello")
+    rest = Answer([make_delta_event(0, 10, " you."), END_EVENT + DONE_EVENT])
     refusal = make_refusal("copies_unavailable", 2.0)
     _, got = read_stream(Answer([piece]), refusal, rest)
     assert got.startswith(piece + b"event: problem\n")
@@ -119,12 +116,11 @@
 
 @pytest.mark.parametrize("text", ["paid: 3", "the id: 7", "id: 0.2", "\nid: 0.2\n"])
 def test_the_rest_begins_where_the_caller_has_the_text(text):
-    """A home is lost after text that holds ``id: ``.
+    """Text that contains ``id: `` must not be taken for the position of an event.
 
-    The position was looked for behind the last ``id: `` of the events, found within the
-    text, and not noted. The next home then repeated what the caller had already.
+    Otherwise the next owner repeats text that the caller already has.
     """
-    piece = make_piece_event(0, len(text), text)
+    piece = make_delta_event(0, len(text), text)
     rest = Answer([END_EVENT + DONE_EVENT])
     forwarder, got = read_stream(Answer([piece]), rest)
     assert forwarder.positions == [f"0.{len(text)}"]
@@ -132,33 +128,33 @@
 
 
 def test_the_end_of_a_stream_comes_once_and_whole():
-    """The home is lost between the end of a stream and the mark of that end."""
-    piece = make_piece_event(0, 5, "Hello")
+    """The owner is lost between the final event of a stream and ``[DONE]``."""
+    piece = make_delta_event(0, 5, "Hello")
     rest = Answer([END_EVENT + DONE_EVENT])
     _, got = read_stream(Answer([piece, END_EVENT]), rest)
     assert got == piece + END_EVENT + DONE_EVENT
 
 
 def test_nothing_is_told_of_an_end_that_is_not_whole():
-    """As above, and nobody takes the home over: the caller has to ask again."""
-    piece = make_piece_event(0, 5, "Hello")
+    """As above, but no box takes over: the stream ends with a problem."""
+    piece = make_delta_event(0, 5, "Hello")
     _, got = read_stream(Answer([piece, END_EVENT]))
     assert END_EVENT not in got
     assert b"home_lost" in got
     assert got.endswith(DONE_EVENT)
 
 
-class TornAnswer(Answer):
-    """A whole answer whose body breaks off."""
+class TruncatedAnswer(Answer):
+    """A non-streaming response whose body is cut off."""
 
     def read(self):
         raise urllib3.exceptions.ProtocolError("broken off")
 
 
 def test_a_refusal_that_breaks_off_is_asked_for_again():
-    """The stream of the caller broke with it: the error was nobody's to take."""
-    piece = make_piece_event(0, 5, "Hello")
-    torn = TornAnswer([], PROBLEM_TYPE)
+    """A problem document that is cut off must not abort the caller's stream."""
+    piece = make_delta_event(0, 5, "Hello")
+    truncated = TruncatedAnswer([], PROBLEM_TYPE)
     rest = Answer([END_EVENT + DONE_EVENT])
-    _, got = read_stream(Answer([piece]), torn, rest)
+    _, got = read_stream(Answer([piece]), truncated, rest)
     assert got == piece + END_EVENT + DONE_EVENT
--- a/tests/border/test_web_app.py
+++ b/tests/border/test_web_app.py
@@ -7,11 +7,11 @@
 
 
 def test_a_fault_within_a_box_is_not_said_not_to_have_run():
-    """A handler fails after it has let a call run."""
+    """A handler may fail after its call has run."""
     app = WebApp(1_000, Metrics())
 
     def fail(_):
-        raise RuntimeError("a fault of this box")
+        raise RuntimeError("internal fault")
 
     app.add("POST", "/calls", fail)
     reply = Client(app).post("/calls")
