--- a/src/cedarchute/ownership/__init__.py
+++ b/src/cedarchute/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Which box owns a partition, and how that changes."""
+"""Ownership of partitions: assignment, failure detection and takeover."""
--- a/src/cedarchute/ownership/hand_over.py
+++ b/src/cedarchute/ownership/hand_over.py
@@ -1,4 +1,4 @@
-"""Messages with which a leaving box hands a partition over."""
+"""Messages with which a leaving box transfers a partition to a holder."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class HandOver(Message):
-    """A box that leaves asks a holder to take a partition over."""
+    """Asks a holder to take over a partition of the leaving sender."""
 
     partition: str
 
 
 class HandOverReply(Message):
-    """Whether the partition was taken over."""
+    """Whether the holder now owns the partition."""
 
     taken: bool
--- a/src/cedarchute/ownership/holder_choice.py
+++ b/src/cedarchute/ownership/holder_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the holders of a partition's copies."""
+"""Selects the holders that replicate a partition."""
 
 from __future__ import annotations
 
@@ -15,27 +15,29 @@
 def choose_holders(
     me: BoxRecord, boxes: Iterable[BoxRecord], count: int
 ) -> tuple[str, ...]:
-    """Return up to `count` holders, in other failure domains first.
+    """Return up to `count` holders, each in a different failure domain if possible.
 
-    Only boxes of the same region are chosen, so that regions that lose each other
-    go on. The order by rank spreads the copies of all boxes evenly, and a box that
-    joins or leaves changes few choices.
+    Only boxes of the same region are eligible, so that a region keeps working while
+    it is cut off from the others. Rendezvous hashing (`rank`) distributes the copies
+    evenly and changes few choices when a box joins or leaves.
     """
     candidates = sorted(
         (box for box in boxes if box.name != me.name and box.region == me.region),
         key=lambda box: rank(me.name, box.name),
     )
     chosen: list[BoxRecord] = []
-    used = {me.failure_domain}
+    used_domains = {me.failure_domain}
     while candidates and len(chosen) < count:
-        fresh = [box for box in candidates if box.failure_domain not in used]
-        if not fresh:
-            outside = [
+        preferred = [
+            box for box in candidates if box.failure_domain not in used_domains
+        ]
+        if not preferred:
+            in_other_domains = [
                 box for box in candidates if box.failure_domain != me.failure_domain
             ]
-            fresh = outside or candidates
-        box = fresh[0]
+            preferred = in_other_domains or candidates
+        box = preferred[0]
         chosen.append(box)
-        used.add(box.failure_domain)
+        used_domains.add(box.failure_domain)
         candidates.remove(box)
     return tuple(box.holder for box in chosen)
--- a/src/cedarchute/ownership/owner_check.py
+++ b/src/cedarchute/ownership/owner_check.py
@@ -1,4 +1,4 @@
-"""Finds out whether the owner of a partition is gone."""
+"""Failure detection for the owners of partitions."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class OwnerCheck:
-    """Weighs the store's record, heartbeats and what holders have heard.
+    """Combines store records, heartbeats and holder traffic to detect failed owners.
 
-    Only a refused connection or a later incarnation proves a box gone. A missing
-    record does not: the store may have lost its leases.
+    Only refused connections or a later incarnation confirm that a process has ended.
+    A missing record does not, because the store may have lost its leases.
     """
 
     def __init__(
@@ -52,14 +52,18 @@
         self.metrics = metrics
         self.missing_since: dict[str, float] = {}
 
-    def is_proved_gone(self, owner: str) -> bool:
-        """Return whether the owner's process surely does not run any more."""
+    def is_confirmed_gone(self, owner: str) -> bool:
+        """Return whether the owner's process has certainly ended."""
         if self.view.is_replaced(owner):
             return True
         return self.view.is_refusing(owner)
 
     def is_missing(self, record: PartitionRecord) -> bool:
-        """Return whether the owner was neither in the store nor heard for long."""
+        """Return whether the owner is presumed failed.
+
+        For `takeover_seconds`, its record has been missing from the store and this
+        box's holder has not heard of it; and a heartbeat fails or has no address.
+        """
         owner = record.owner
         name = owner.rpartition(".")[0]
         box = self.view.boxes.get(name)
@@ -76,7 +80,7 @@
         return known is None or not self.answers(known)
 
     def answers(self, box: BoxRecord) -> bool:
-        """Return whether the process of `box` answers a heartbeat."""
+        """Return whether the process of `box` replies to a heartbeat."""
         message = Heartbeat(box=self.keeper.record, revision=0, digest="")
         try:
             reply = self.client.send(
@@ -92,24 +96,24 @@
         return True
 
     def suspect(self, box: BoxRecord) -> None:
-        """Tell the holders of a box's partitions that nothing listens there."""
+        """Report a refused connection of a box to the holders of its partitions."""
         self.view.on_refused(box.identity)
-        told = set()
+        notified = set()
         for record in self.view.partitions.values():
             if record.owner != box.identity:
                 continue
             for holder in record.holders:
                 peer = self.view.find_holder(holder)
-                if peer is None or peer.name in told:
+                if peer is None or peer.name in notified:
                     continue
-                told.add(peer.name)
+                notified.add(peer.name)
                 if peer.name == self.keeper.record.name:
-                    self.check_suspect(box.identity)
+                    self.probe_suspect(box.identity)
                 else:
-                    eventlet.spawn_n(self.tell, peer, box.identity)
+                    eventlet.spawn_n(self.send_suspicion, peer, box.identity)
 
-    def tell(self, peer: BoxRecord, identity: str) -> None:
-        """Send one suspicion."""
+    def send_suspicion(self, peer: BoxRecord, identity: str) -> None:
+        """Send a suspicion of the box `identity` to one peer."""
         message = Suspicion(identity=identity)
         try:
             self.client.send(peer.peer_address, "suspect", message, Acknowledged)
@@ -117,12 +121,12 @@
             self.metrics.count("takeover.suspicion_lost")
 
     def on_suspicion(self, message: Suspicion) -> Acknowledged:
-        """Look for oneself whether a suspected box is gone."""
-        eventlet.spawn_n(self.check_suspect, message.identity)
+        """Probe a box that a peer suspects, in the background."""
+        eventlet.spawn_n(self.probe_suspect, message.identity)
         return Acknowledged()
 
-    def check_suspect(self, identity: str) -> None:
-        """Try the suspected box; only a refused connection proves it gone."""
+    def probe_suspect(self, identity: str) -> None:
+        """Send a suspected box up to `REFUSALS_NEEDED` heartbeats until it replies."""
         box = self.view.find_box(identity)
         for _ in range(REFUSALS_NEEDED):
             if box is None or self.answers(box):
--- a/src/cedarchute/ownership/partition_keeper.py
+++ b/src/cedarchute/ownership/partition_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the partitions of this box in the store, with holders that live."""
+"""Maintains the store records and the holders of the partitions that this box owns."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 PERIOD_SECONDS: Final = 0.5
 JOIN_SECONDS: Final = 30.0
 GATE_SECONDS: Final = 2.0
-STALE_SECONDS: Final = 60.0
+STALE_COPY_SECONDS: Final = 60.0
 JOIN_POLL_SECONDS: Final = 0.02
 
 
 class PartitionKeeper:
-    """Opens this box's own partition, and replaces holders that are gone.
+    """Creates this box's own partition and replaces failed holders.
 
-    The store is written once for each change of a partition, never for a program.
+    The store is written once per change of a partition, never per program.
     """
 
     def __init__(
@@ -70,24 +70,24 @@
         """The identity of this box."""
         return self.keeper.record.identity
 
-    def new_operation(self) -> str:
-        """Return an id for one write, which no other write has."""
+    def next_operation_id(self) -> str:
+        """Return a unique id for one write to the store."""
         return f"{self.identity}/{next(self.operations)}"
 
     def choose(self) -> tuple[str, ...]:
-        """Return the holders that a partition of this box should have now."""
+        """Return the preferred holders for the partitions of this box."""
         if self.settings.wanted == 0:
             return ()
         count = self.settings.wanted + self.settings.spare
         return choose_holders(self.keeper.record, self.view.entries, count)
 
     def own_partition(self) -> OwnedPartition:
-        """Return the partition in which this box opens programs.
+        """Return the partition in which this box creates programs.
 
         Raises
         ------
         Problem
-            ``copies_unavailable`` while it has no holders or no record.
+            ``copies_unavailable`` if it is not open, is lost or is being handed over.
         """
         partition = self.replicator.partitions.get(self.own_name)
         if partition is None or partition.is_lost or partition.is_handing_over:
@@ -95,20 +95,20 @@
         return partition
 
     def keep_forever(self) -> None:
-        """Look after the partitions in each period."""
+        """Run `keep_once` periodically; an unavailable store skips a period."""
         while True:
             try:
                 self.keep_once()
             except StoreUnavailableError as error:
-                log.debug("Partitions not looked after: %s", error)
+                log.debug("Skipped partition maintenance: %s", error)
             eventlet.sleep(PERIOD_SECONDS)
 
     def keep_once(self) -> None:
-        """Open the own partition, replace holders, drop what moved away."""
-        # A box that leaves has handed its partition over, and would hand over no other.
+        """Reconcile the partitions of this box with their records in the store."""
+        # Nothing would hand over a partition that a leaving box opens now.
         is_leaving = self.keeper.record.is_leaving
         if self.own_name not in self.replicator.partitions and not is_leaving:
-            self.open_own()
+            self.open_own_partition()
         self.drop_stale_copies()
         for partition in list(self.replicator.partitions.values()):
             record = self.view.partitions.get(partition.name)
@@ -122,41 +122,42 @@
                 continue
             if record is None or record.epoch < partition.epoch:
                 self.repair(partition)
-            elif self.is_spent(partition):
+            elif self.is_empty_inherited(partition):
                 self.remove(partition)
             else:
                 self.replace_holders(partition)
 
     def drop_stale_copies(self) -> None:
-        """Forget the copies of partitions that are held elsewhere by now."""
+        """Drop copies of partitions that this box no longer holds."""
         local = self.replicator.local
         now = local.clock.monotonic()
         for name, copy in list(local.partitions.items()):
             record = self.view.partitions.get(name)
             is_held = record is not None and local.name in record.holders
-            if not is_held and now - copy.heard_at > STALE_SECONDS:
+            if not is_held and now - copy.heard_at > STALE_COPY_SECONDS:
                 local.drop(name)
 
-    def open_own(self) -> None:
-        """Write the record of this box's own partition, once there are holders.
+    def open_own_partition(self) -> None:
+        """Create this box's own partition, or load its existing record.
 
-        A box that was paused or cut off for long finds that another one owns its
-        partition; it goes on with a new partition under a new number.
+        Does nothing while holders are wanted and none is available. If another box
+        took the partition over, for example while this one was paused or cut off, the
+        partition gets a new name first.
         """
         holders = self.choose()
         if self.settings.wanted > 0 and not holders:
             return
         known = self.view.partitions.get(self.own_name)
         if known is not None and known.owner != self.identity:
-            self.rename_own()
+            self.reincarnate_own_partition()
         elif known is not None:
             version = self.view.partition_versions[self.own_name]
             self.replicator.partitions[self.own_name] = OwnedPartition(known, version)
         else:
-            self.write_own(holders)
+            self.write_own_partition(holders)
 
-    def rename_own(self) -> None:
-        """Take a new number for this box's own partition."""
+    def reincarnate_own_partition(self) -> None:
+        """Name this box's own partition after a new incarnation number."""
         name = self.keeper.record.name
         key = self.keys.incarnation(name)
         number = try_incarnation(self.store, key, self.clock)
@@ -164,15 +165,15 @@
             self.own_name = f"{name}.{number}"
             self.metrics.count("ownership.own_renamed")
 
-    def write_own(self, holders: tuple[str, ...]) -> None:
-        """Put the record of this box's own partition into the store."""
+    def write_own_partition(self, holders: tuple[str, ...]) -> None:
+        """Create the record of this box's own partition in the store."""
         record = PartitionRecord(
             partition=self.own_name,
             epoch=1,
             owner=self.identity,
             holders=holders,
             quorum=min(self.settings.wanted, len(holders)),
-            operation=self.new_operation(),
+            operation=self.next_operation_id(),
         )
         key = self.keys.partition(self.own_name)
         result = self.store.swap(key, record.to_json(), 0)
@@ -184,20 +185,20 @@
         self.replicator.partitions[self.own_name] = partition
         log.info("Partition %s opened with %s.", self.own_name, ", ".join(holders))
 
-    def is_spent(self, partition: OwnedPartition) -> bool:
-        """Return whether an inherited partition has no programs any more."""
+    def is_empty_inherited(self, partition: OwnedPartition) -> bool:
+        """Return whether a taken-over partition has no programs left."""
         return partition.name != self.own_name and not partition.logs
 
     def remove(self, partition: OwnedPartition) -> None:
-        """Remove the record of a partition without programs."""
+        """Delete the record of a partition without programs."""
         key = self.keys.partition(partition.name)
         if self.store.delete(key, partition.version).won:
             self.replicator.partitions.pop(partition.name, None)
             self.view.drop_partition(partition.name)
-            log.info("Partition %s is spent.", partition.name)
+            log.info("Removed empty partition %s.", partition.name)
 
     def repair(self, partition: OwnedPartition) -> None:
-        """Write a record again that the store has lost or set back."""
+        """Rewrite a record that the store has lost or reverted to a lower epoch."""
         key = self.keys.partition(partition.name)
         entry = self.store.get(key)
         if entry is not None:
@@ -211,27 +212,33 @@
             partition.version = result.current.version
             self.view.put_partition(result.current)
             self.metrics.count("ownership.store_repaired")
-            log.warning("Store went back; wrote %s again.", partition.name)
+            log.warning(
+                "Store lost the current record of %s; wrote it again.", partition.name
+            )
 
     def replace_holders(self, partition: OwnedPartition) -> None:
-        """Copy to new holders when one is gone or some are missing.
+        """Change the holders if one is unusable or there are too few.
 
-        The record changes only when every new holder has everything: from then on
-        a quorum of the new holders has each record that was kept, so their order is
-        free. Holders in other failure domains come first, also those that came late.
+        The record changes only once every new holder has all records. Any
+        quorum of them then has each committed record, so they are listed in order of
+        preference, other failure domains first, even those that joined late.
         """
-        present = [holder for holder in partition.record.holders if self.stays(holder)]
+        usable = [
+            holder
+            for holder in partition.record.holders
+            if self.is_usable_holder(holder)
+        ]
         wanted = self.choose()
-        is_whole = len(present) == len(partition.record.holders)
-        if is_whole and len(present) >= len(wanted):
+        are_all_usable = len(usable) == len(partition.record.holders)
+        if are_all_usable and len(usable) >= len(wanted):
             return
         quorum = min(self.settings.wanted, len(wanted))
         if not wanted or quorum < min(partition.record.quorum, 1):
             return
         self.join_holders(partition, wanted, quorum)
 
-    def stays(self, holder: str) -> bool:
-        """Return whether a holder is on another box that is not leaving."""
+    def is_usable_holder(self, holder: str) -> bool:
+        """Return whether a holder runs on another box that is not leaving."""
         box = self.view.find_holder(holder)
         return (
             box is not None
@@ -242,37 +249,42 @@
     def join_holders(
         self, partition: OwnedPartition, holders: tuple[str, ...], quorum: int
     ) -> None:
-        """Bring `holders` up to date, then make them the holders."""
+        """Replicate to `holders`, then store them as the new holders.
+
+        Appends are blocked only for the last pass, limited to `GATE_SECONDS`.
+        """
         partition.joining = holders
         try:
             with eventlet.Timeout(JOIN_SECONDS, False):
-                self.copy_all(partition, holders)
+                self.replicate_all(partition, holders)
                 with partition.gate, eventlet.Timeout(GATE_SECONDS, False):
-                    self.copy_all(partition, holders)
+                    self.replicate_all(partition, holders)
                     self.write_holders(partition, holders, quorum)
         finally:
             partition.joining = ()
 
-    def copy_all(self, partition: OwnedPartition, holders: tuple[str, ...]) -> None:
-        """Return when every one of `holders` has every record."""
+    def replicate_all(
+        self, partition: OwnedPartition, holders: tuple[str, ...]
+    ) -> None:
+        """Wait until each of `holders` has every record, or the partition is lost."""
         for holder in holders:
             for program, program_log in list(partition.logs.items()):
                 if program_log.matched.get(holder, 0) < len(program_log):
                     self.replicator.link(holder).mark(partition.name, program)
-        while not partition.is_lost and not has_all(partition, holders):
+        while not partition.is_lost and not is_fully_replicated(partition, holders):
             eventlet.sleep(JOIN_POLL_SECONDS)
 
     def write_holders(
         self, partition: OwnedPartition, holders: tuple[str, ...], quorum: int
     ) -> None:
-        """Put the new holders into the store."""
+        """Update the record with the new holders if its version is unchanged."""
         if partition.is_lost:
             return
         record = partition.record.model_copy(
             update={
                 "holders": holders,
                 "quorum": quorum,
-                "operation": self.new_operation(),
+                "operation": self.next_operation_id(),
             }
         )
         key = self.keys.partition(partition.name)
@@ -288,8 +300,8 @@
         log.info("Partition %s held by %s.", partition.name, ", ".join(holders))
 
 
-def has_all(partition: OwnedPartition, holders: tuple[str, ...]) -> bool:
-    """Return whether every holder has every record of a partition."""
+def is_fully_replicated(partition: OwnedPartition, holders: tuple[str, ...]) -> bool:
+    """Return whether each of `holders` has every record of a partition."""
     return all(
         program_log.count_holders(len(program_log), holders) == len(holders)
         for program_log in partition.logs.values()
--- a/src/cedarchute/ownership/recovery.py
+++ b/src/cedarchute/ownership/recovery.py
@@ -1,4 +1,4 @@
-"""Reads a partition's programs from its holders and goes on with them."""
+"""Recovers the programs of a partition from its holders after a takeover."""
 
 from __future__ import annotations
 
@@ -34,14 +34,15 @@
 
 READ_RETRY_SECONDS: Final = 0.3
 READ_ATTEMPTS: Final = 5
-ADOPTING: Final = 32
+MAX_CONCURRENT_RESUMES: Final = 32
 
 
 class Recovery:
-    """Seals the copies of a partition, so that its old owner cannot go on.
+    """Seals the copies of a partition, reads its logs and resumes its programs.
 
-    Enough holders are sealed to meet every record that was ever kept; of each
-    program the log with the later last epoch, then the longer one, is read.
+    Sealing makes holders reject the previous owner. The sealed holders overlap with
+    every write quorum. For each program, the log with the highest last epoch is read,
+    and the longest of those.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         self.metrics = metrics
 
     def recover(self, partition: OwnedPartition, owner_gone: bool) -> None:
-        """Seal the copies, read the longest logs, go on with the programs."""
+        """Seal the copies, read the most recent logs and resume the programs."""
         logs = None
         while logs is None and not partition.is_lost:
             logs = self.read_all(partition, self.seal(partition, owner_gone))
@@ -81,7 +82,7 @@
         partition.is_recovering = False
         self.metrics.count("takeover.programs", len(programs))
         log.info("Took over %d programs of %s.", len(programs), partition.name)
-        pool = eventlet.GreenPool(ADOPTING)
+        pool = eventlet.GreenPool(MAX_CONCURRENT_RESUMES)
         for program in programs:
             pool.spawn_n(self.adopter.resume, program)
         pool.waitall()
@@ -90,15 +91,15 @@
     def read_all(
         self, partition: OwnedPartition, sealed: dict[str, SealReply]
     ) -> dict[str, ProgramLog] | None:
-        """Return the longest log of each program; None when a holder went away."""
+        """Return the most recent log of each program, or None if a read failed."""
         best: dict[str, tuple[LogSummary, str]] = {}
-        # Of equal logs the one that this box holds itself needs no message.
-        nearest = sorted(sealed, key=lambda holder: holder != self.holder.name)
-        for holder in nearest:
+        # Among equal logs the first is used: the local one needs no request.
+        local_first = sorted(sealed, key=lambda holder: holder != self.holder.name)
+        for holder in local_first:
             reply = sealed[holder]
             for program, summary in reply.logs.items():
                 found = best.get(program)
-                if found is None or order_key(summary) > order_key(found[0]):
+                if found is None or log_order_key(summary) > log_order_key(found[0]):
                     best[program] = (summary, holder)
         logs = {}
         for program, (summary, holder) in best.items():
@@ -114,18 +115,18 @@
         return logs
 
     def seal(self, partition: OwnedPartition, owner_gone: bool) -> dict[str, SealReply]:
-        """Return the replies of enough holders to meet every kept record."""
+        """Return the replies of enough holders to cover every committed record."""
         sealing = Sealing(
             partition,
-            lambda holder: self.seal_one(partition, holder, owner_gone),
+            lambda holder: self.seal_holder(partition, holder, owner_gone),
             self.clock,
         )
         return sealing.run()
 
-    def seal_one(
+    def seal_holder(
         self, partition: OwnedPartition, holder: str, owner_gone: bool
     ) -> SealReply | None:
-        """Seal the copies of one holder; None when it did not."""
+        """Return the reply of one holder, or None if it was not sealed."""
         request = SealRequest(
             holder=holder,
             partition=partition.name,
@@ -149,7 +150,7 @@
     def read(
         self, partition: OwnedPartition, program: str, holder: str
     ) -> tuple[HeldRecord, ...] | None:
-        """Return the records of one program; None when the holder is gone."""
+        """Return the records of one program, or None if the holder cannot be read."""
         if holder == self.holder.name:
             return self.holder.read(partition.name, program)
         request = ReadRequest(holder=holder, partition=partition.name, program=program)
@@ -165,6 +166,6 @@
         return None
 
 
-def order_key(summary: LogSummary) -> tuple[int, int]:
-    """Return how two logs compare: the later last epoch, then the longer."""
+def log_order_key(summary: LogSummary) -> tuple[int, int]:
+    """Return the sort key of a log: its last epoch, then its length."""
     return (summary.last_epoch, summary.length)
--- a/src/cedarchute/ownership/sealing.py
+++ b/src/cedarchute/ownership/sealing.py
@@ -1,4 +1,4 @@
-"""Seals the copies of one partition at its holders, side by side."""
+"""Seals the copies of one partition at all of its holders concurrently."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     from cedarchute.copies.messages import SealReply
     from cedarchute.copies.owned_partition import OwnedPartition
 
-# Once enough have answered, the others have this much time in all.
+# Time from the start during which holders beyond `seals_needed` are waited for.
 WAIT_SECONDS: Final = 1.0
 RETRY_SECONDS: Final = 0.3
 POLL_SECONDS: Final = 0.1
 
 
 class Sealing:
-    """One task for each holder: a holder that says nothing holds up no other.
+    """Seals each holder in its own task, so that a hung holder delays no other.
 
     Parameters
     ----------
     seal : Callable
-        Asks one holder; None when it did not seal.
+        Sends the request to one holder; returns None if it was not sealed.
     """
 
     def __init__(
@@ -39,30 +39,33 @@
         self.seal = seal
         self.clock = clock
         self.sealed: dict[str, SealReply] = {}
-        self.is_over = False
+        self.is_finished = False
         self.progress = Event()
 
     def run(self) -> dict[str, SealReply]:
-        """Return the replies of enough holders to meet every kept record."""
+        """Return the replies of enough holders to cover every committed record.
+
+        Returns early, with fewer, if the partition is lost.
+        """
         for holder in self.partition.record.holders:
-            eventlet.spawn_n(self.seal_surely, holder)
+            eventlet.spawn_n(self.seal_with_retry, holder)
         started = self.clock.monotonic()
         while not self.is_done(self.clock.monotonic() - started):
             with eventlet.Timeout(POLL_SECONDS, False):
                 self.progress.wait()
-        self.is_over = True
+        self.is_finished = True
         return dict(self.sealed)
 
     def is_done(self, waited: float) -> bool:
-        """Return whether no more replies are waited for, after so many seconds."""
+        """Return whether to stop waiting for replies after `waited` seconds."""
         record = self.partition.record
         if self.partition.is_lost or len(self.sealed) == len(record.holders):
             return True
         return len(self.sealed) >= record.seals_needed and waited >= WAIT_SECONDS
 
-    def seal_surely(self, holder: str) -> None:
-        """Ask one holder, again until it has sealed."""
-        while not self.partition.is_lost and not self.is_over:
+    def seal_with_retry(self, holder: str) -> None:
+        """Seal one holder, with retries until it succeeds or `run` has returned."""
+        while not self.partition.is_lost and not self.is_finished:
             reply = self.seal(holder)
             if reply is not None:
                 self.sealed[holder] = reply
--- a/src/cedarchute/ownership/takeover.py
+++ b/src/cedarchute/ownership/takeover.py
@@ -1,4 +1,4 @@
-"""Takes over the partitions of a box that is gone."""
+"""Takes over the partitions of failed or leaving boxes."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class Takeover:
-    """Watches the owners of the partitions that this box holds copies of.
+    """Monitors the owners of the partitions of which this box holds copies.
 
-    A wrong suspicion costs time and nothing else: the epoch in the store decides
-    who owns a partition, and holders refuse the old owner from the seal on.
+    A false suspicion is safe: the epoch in the store decides who owns a partition,
+    and sealed holders reject the previous owner.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self.considering: set[str] = set()
 
     def watch_forever(self) -> None:
-        """Look at every partition held here in each period."""
+        """Check the owners of all partitions periodically."""
         while True:
             for record in list(self.view.partitions.values()):
                 if self.is_won_unseen(record):
@@ -68,26 +68,26 @@
                 if self.may_take(record) and record.partition not in self.considering:
                     self.considering.add(record.partition)
                     eventlet.spawn_n(self.consider, record)
-            self.forget_gone()
+            self.forget_absent_boxes()
             eventlet.sleep(PERIOD_SECONDS)
 
     def is_won_unseen(self, record: PartitionRecord) -> bool:
-        """Return whether a takeover won in the store although its reply was lost."""
+        """Return whether the store shows a won takeover whose reply was lost."""
         return (
             record.owner == self.keeper.record.identity
             and record.partition != self.partitions.own_name
             and record.partition not in self.partitions.replicator.partitions
         )
 
-    def forget_gone(self) -> None:
-        """Forget the boxes that have been absent for long."""
+    def forget_absent_boxes(self) -> None:
+        """Forget boxes that have been absent for more than `takeover_seconds`."""
         now = self.clock.monotonic()
         for name, (_, since) in list(self.view.absent.items()):
             if now - since > self.takeover_seconds:
                 self.view.forget_box(name)
 
     def may_take(self, record: PartitionRecord) -> bool:
-        """Return whether this box holds copies of another box's partition."""
+        """Return whether this box is eligible to take over a partition."""
         me = self.keeper.record
         return (
             self.holder.name in record.holders
@@ -96,62 +96,70 @@
         )
 
     def consider(self, record: PartitionRecord) -> None:
-        """Take a partition over if its owner is gone."""
+        """Take over a partition if its owner has failed."""
         try:
-            is_proved = self.check.is_proved_gone(record.owner)
-            if not is_proved and not self.check.is_missing(record):
+            is_confirmed = self.check.is_confirmed_gone(record.owner)
+            if not is_confirmed and not self.check.is_missing(record):
                 return
-            self.wait_for_turn(record)
+            self.wait_for_earlier_holders(record)
             if self.view.partitions.get(record.partition) == record:
-                self.take(record, is_proved)
+                self.claim_ownership(record, is_confirmed)
         except StoreUnavailableError as error:
-            log.debug("Takeover of %s put off: %s", record.partition, error)
+            log.debug("Takeover of %s postponed: %s", record.partition, error)
         finally:
             self.considering.discard(record.partition)
 
-    def wait_for_turn(self, record: PartitionRecord) -> None:
-        """Let holders that come earlier in the record go first."""
-        earlier = 0
+    def wait_for_earlier_holders(self, record: PartitionRecord) -> None:
+        """Delay, so that live holders listed earlier in the record go first."""
+        live_before = 0
         for holder in record.holders:
             if holder == self.holder.name:
                 break
             if self.view.find_holder(holder) is not None:
-                earlier += 1
-        eventlet.sleep(earlier * STAGGER_SECONDS)
+                live_before += 1
+        eventlet.sleep(live_before * STAGGER_SECONDS)
 
     def on_hand_over(self, message: HandOver) -> HandOverReply:
-        """Take a partition over from a box that leaves and has agreed."""
+        """Take over a partition at the request of its leaving owner."""
         record = self.view.partitions.get(message.partition)
         if record is None or not self.may_take(record):
             return HandOverReply(taken=False)
         try:
-            return HandOverReply(taken=self.take(record, True))
+            return HandOverReply(taken=self.claim_ownership(record, True))
         except StoreUnavailableError:
             return HandOverReply(taken=False)
 
-    def take(self, record: PartitionRecord, owner_gone: bool) -> bool:
-        """Become the owner in the store, then recover; return whether won."""
+    def claim_ownership(self, record: PartitionRecord, owner_gone: bool) -> bool:
+        """Become the owner in the store and start recovery.
+
+        Returns False if a concurrent write to the record won.
+
+        Raises
+        ------
+        StoreUnavailableError
+            If the store does not respond; the write may still succeed.
+        """
         version = self.view.partition_versions.get(record.partition, 0)
-        taken = record.model_copy(
+        claimed = record.model_copy(
             update={
                 "epoch": record.epoch + 1,
                 "owner": self.keeper.record.identity,
-                "operation": self.partitions.new_operation(),
+                "operation": self.partitions.next_operation_id(),
             }
         )
         key = self.partitions.keys.partition(record.partition)
-        result = self.partitions.store.swap(key, taken.to_json(), version)
+        result = self.partitions.store.swap(key, claimed.to_json(), version)
         if result.current is not None:
             self.view.put_partition(result.current)
         if not result.won or result.current is None:
             return False
         self.metrics.count("takeover.won")
         log.info("Taking over %s from %s.", record.partition, record.owner)
-        self.begin(taken, result.current.version, owner_gone)
+        self.begin(claimed, result.current.version, owner_gone)
         return True
 
     def begin(self, record: PartitionRecord, version: int, owner_gone: bool) -> None:
-        """Start to recover a partition that this box owns in the store."""
+        """Start recovery of a partition that the store assigns to this box."""
         partition = OwnedPartition(record, version)
         partition.is_recovering = True
         self.partitions.replicator.partitions[record.partition] = partition
--- a/src/experiments/mutations.py
+++ b/src/experiments/mutations.py
@@ -211,7 +211,7 @@
     Mutation(
         "copies stand in other failure domains",
         "ownership/holder_choice.py",
-        "if box.failure_domain not in used",
+        "if box.failure_domain not in used_domains",
         "if True",
         "tests/ownership/test_holder_choice.py",
     ),
--- a/tests/ownership/test_recovery.py
+++ b/tests/ownership/test_recovery.py
@@ -17,7 +17,7 @@
 
 
 class Peers:
-    """Holders that answer, but for those that say nothing."""
+    """Holders that reply, except for the silent ones, which hang."""
 
     def __init__(self, silent):
         self.silent = silent
@@ -32,11 +32,7 @@
 
 @pytest.mark.parametrize("silent", ["one", "two", "three"])
 def test_a_silent_holder_keeps_no_other_from_being_asked(silent):
-    """One of three holders is paused when a box takes its programs over.
-
-    Holders were sealed one after the other: one that said nothing held the programs up
-    for the time of a whole message, whoever else had answered.
-    """
+    """A hung holder must not delay a takeover until its request times out."""
     peers = Peers({silent})
     view = SimpleNamespace(find_holder=lambda h: SimpleNamespace(peer_address=h))
     holder = SimpleNamespace(name="me")
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -15,7 +15,7 @@
 
 
 def test_an_owner_that_answers_is_not_taken_over_for_lack_of_a_record(world):
-    """The store has lost every lease, but all boxes run."""
+    """The store has lost every lease while all boxes keep running."""
     program = world.open(0)
     for box in world.boxes.values():
         for record in list(box.view.boxes.values()):
@@ -26,9 +26,9 @@
             for record in list(box.view.partitions.values()):
                 if box.takeover.may_take(record):
                     box.takeover.consider(record)
-    home = world.find_home(program)
-    assert home is world.boxes[0]
-    assert home.home.find(program).takeover_count == 0
+    owner = world.find_home(program)
+    assert owner is world.boxes[0]
+    assert owner.home.find(program).takeover_count == 0
 
 
 def test_nobody_takes_over_while_the_store_is_down(world):
@@ -67,10 +67,10 @@
     world.network.cut.add(box.port)
     world.pass_lease()
     world.network.cut.clear()
-    with pytest.raises(Problem) as refusal:
+    with pytest.raises(Problem) as raised:
         box.home.open(OpenRequest(workspace="members"))
-    assert refusal.value.verdict == "not run"
-    assert refusal.value.retry_after > 0
+    assert raised.value.verdict == "not run"
+    assert raised.value.retry_after > 0
 
 
 def test_a_new_owner_reads_what_it_holds_itself_from_nobody(world):
@@ -78,6 +78,6 @@
     world.kill(0)
     world.network.sent.clear()
     world.pass_lease()
-    homes = {world.find_home(program).record.name for program in programs}
-    assert len(homes) == 1
+    owners = {world.find_home(program).record.name for program in programs}
+    assert len(owners) == 1
     assert world.network.sent["read"] == 0
