--- a/src/cedarchute/border/call_problems.py
+++ b/src/cedarchute/border/call_problems.py
@@ -19,7 +19,7 @@
     """Return the response to a box that forwarded a request to the wrong owner."""
     problem = Problem(
         "not_home",
-        "Another box owns the program; locate its owner again.",
+        "The program's home is another box; look for it again.",
         status=421,
         verdict=Verdict.MAY_HAVE_RUN,
         retry_after=RETRY_AFTER_SECONDS,
@@ -33,8 +33,8 @@
     """Return the problem of a program whose owner is lost and not yet replaced."""
     return Problem(
         "home_lost",
-        "The box that owns the program is lost and no other has taken over yet; "
-        "retry with the same key.",
+        "The box that orders the program's calls is gone and not replaced yet; "
+        "ask again with the same key.",
         status=503,
         verdict=Verdict.MAY_HAVE_RUN,
         retry_after=RETRY_AFTER_SECONDS,
@@ -45,7 +45,7 @@
     """Return the problem of a call that exceeds the timeout of its request."""
     return Problem(
         "answer_late",
-        "The call is still in progress; fetch its response later with its key.",
+        "The call is still in progress; fetch its answer later with its key.",
         status=504,
         verdict=Verdict.MAY_HAVE_RUN,
         retry_after=RETRY_AFTER_SECONDS,
--- a/src/cedarchute/border/caller_app.py
+++ b/src/cedarchute/border/caller_app.py
@@ -125,7 +125,7 @@
                 self.metrics.count_retry("open_elsewhere")
         raise Problem(
             "leaving",
-            "This box is draining; get another address from GET /v1/entries.",
+            "This box is leaving; ask GET /v1/entries for another.",
             status=503,
             retry_after=1.0,
         )
@@ -269,7 +269,7 @@
                 raise
             raise Problem(
                 "answer_lost",
-                "The program may have been opened; open another, this one expires.",
+                "The program may have been opened; open another, this one ends idle.",
                 status=503,
                 verdict=Verdict.MAY_HAVE_RUN,
                 retry_after=1.0,
--- a/src/cedarchute/border/web_app.py
+++ b/src/cedarchute/border/web_app.py
@@ -66,7 +66,7 @@
             response = make_problem_response(problem)
         except RequestEntityTooLarge:
             self.metrics.count_refusal("body_too_large")
-            detail = f"The request body exceeds {self.max_body_bytes} bytes."
+            detail = f"The body is over {self.max_body_bytes} bytes; send less."
             response = make_problem_response(
                 Problem("body_too_large", detail, status=413)
             )
@@ -79,7 +79,7 @@
             log.exception("Request %s %s failed.", request.method, request.path)
             problem = Problem(
                 "internal",
-                "Internal error; retry the request.",
+                "The system failed; ask again.",
                 status=500,
                 verdict=Verdict.MAY_HAVE_RUN,
             )
