--- a/src/cedarchute/fleet/__init__.py
+++ b/src/cedarchute/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Boxes of the platform: who serves, who holds, what they know of the store."""
+"""Fleet membership of boxes and replication of the store's contents to them."""
--- a/src/cedarchute/fleet/box_directory.py
+++ b/src/cedarchute/fleet/box_directory.py
@@ -1,4 +1,4 @@
-"""The boxes that are there now, and which of them callers should use."""
+"""The registered boxes, and the addresses to give to callers."""
 
 from __future__ import annotations
 
@@ -13,66 +13,66 @@
 
 log = logging.getLogger("cedarchute.fleet")
 
-# With fewer entry boxes than this in a caller's own failure domain, one lost box
-# would leave it no other: it is told of all domains then.
-OWN_DOMAIN_LEAST: Final = 2
-MOST_ADDRESSES: Final = 64
+# With fewer entry boxes than this in its failure domain, a caller gets the addresses of
+# the whole region, so that the loss of one box leaves it another.
+MIN_OWN_DOMAIN_BOXES: Final = 2
+MAX_ADDRESSES: Final = 64
 
 
 class BoxDirectory:
-    """Follows the entries of boxes."""
+    """Tracks the registered boxes."""
 
     def __init__(self) -> None:
-        self.known: LapsingEntries[BoxEntry] = LapsingEntries(self.note_gone)
+        self.known: LapsingEntries[BoxEntry] = LapsingEntries(self.log_removal)
         self.addresses: frozenset[str] = frozenset()
 
     def put(self, entry: BoxEntry) -> None:
-        """Take in a box."""
+        """Add or update a box."""
         before = self.known.put(entry.name, entry)
-        self.read_addresses()
+        self.update_addresses()
         if before != entry:
-            text = "Box is leaving." if entry.leaving else "Box is there."
+            text = "Box is draining." if entry.leaving else "Box is registered."
             log.info(text, extra={"box": entry.name, "role": entry.role})
 
     def remove(self, name: str) -> None:
-        """Take in that a box's entry is gone."""
+        """Remove a box whose entry was removed, at once or after a grace period."""
         if not self.known.remove(name):
             log.info("Box's entry lapsed.", extra={"box": name})
 
-    def note_gone(self, entry: BoxEntry) -> None:
-        """Log that a box is gone."""
-        self.read_addresses()
-        log.info("Box is gone.", extra={"box": entry.name})
+    def log_removal(self, entry: BoxEntry) -> None:
+        """Update the addresses and log that a box was dropped."""
+        self.update_addresses()
+        log.info("Box was dropped.", extra={"box": entry.name})
 
-    def read_addresses(self) -> None:
-        """Note where the boxes that are known listen."""
+    def update_addresses(self) -> None:
+        """Collect the addresses of all known boxes."""
         boxes = self.known.entries.values()
         self.addresses = frozenset(
             address for box in boxes for address in (box.callers, box.peers)
         )
 
     def is_box(self, address: Address) -> bool:
-        """Whether a box of ours listens at an address."""
+        """Whether `address` belongs to a known box."""
         return str(address) in self.addresses
 
     def list_boxes(self, role: Role) -> list[BoxEntry]:
-        """Return the boxes of a role that are not leaving."""
+        """Return the boxes of a role that are not draining."""
         entries = self.known.entries.values()
         return [box for box in entries if box.role is role and not box.leaving]
 
     def list_caller_addresses(
         self, failure_domain: str, region: str, is_behind: bool = False
     ) -> list[str]:
-        """Return where a caller should connect: its own domain, if enough serve it.
+        """Return addresses for a caller, of its own failure domain if it has enough.
 
         Parameters
         ----------
         is_behind : bool
-            Whether the box that is asked has more work than it can do: then other
-            domains help.
+            Whether the box that serves the request is overloaded; then the addresses
+            of the whole region are returned.
         """
         boxes = self.list_boxes(Role.ENTRY)
-        near = [box for box in boxes if box.failure_domain == failure_domain]
-        if is_behind or len(near) < OWN_DOMAIN_LEAST:
-            near = [box for box in boxes if box.region == region] or boxes
-        return sorted(box.callers for box in near)[:MOST_ADDRESSES]
+        nearby = [box for box in boxes if box.failure_domain == failure_domain]
+        if is_behind or len(nearby) < MIN_OWN_DOMAIN_BOXES:
+            nearby = [box for box in boxes if box.region == region] or boxes
+        return sorted(box.callers for box in nearby)[:MAX_ADDRESSES]
--- a/src/cedarchute/fleet/box_entry.py
+++ b/src/cedarchute/fleet/box_entry.py
@@ -1,4 +1,4 @@
-"""A box as it stands in the store, under its lease."""
+"""The entry of a box in the store, held under a lease."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class Role(StrEnum):
-    """What a box does."""
+    """Role of a box in the fleet."""
 
     ENTRY = "entry"
     HOLDER = "holder"
 
 
 class BoxEntry(msgspec.Struct, frozen=True):
-    """One process of ours.
+    """A registered box.
 
     Attributes
     ----------
     callers : str
-        Where callers connect; empty for boxes that serve none.
+        Address for callers; empty for boxes that serve none.
     peers : str
-        Where other boxes connect.
+        Address for other boxes.
     disk : str
-        Names the contents of its disk; empty for boxes without one.
+        Identifier of the contents of its disk; empty for boxes without one.
     leaving : bool
-        Whether it is in a planned stop and takes nothing new.
+        Whether it is draining and accepts no new work.
     """
 
     name: str
--- a/src/cedarchute/fleet/configuration_proof.py
+++ b/src/cedarchute/fleet/configuration_proof.py
@@ -1,4 +1,4 @@
-"""When the configuration of this box was certainly the newest."""
+"""Freshness proof of the configuration of this box."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class ConfigurationProof:
-    """The last moment at which somebody asked the store and learnt of nothing newer.
+    """Time of the latest store query that found no newer configuration.
 
-    It counts from when the store was asked, not from its answer: what changed in
-    between is not covered. A watch that says nothing proves nothing.
+    Counts from when the query was sent, since it does not cover changes made while the
+    response was under way. An idle watch is no proof.
 
     Attributes
     ----------
     proven_at : float
-        Seconds of the monotonic clock, which a change of the time of day leaves alone.
+        Seconds, on the monotonic clock.
     """
 
     def __init__(self) -> None:
         self.proven_at = float("-inf")
 
-    def note(self, proven_at: float) -> bool:
-        """Take in a proof; return whether it is newer than the last."""
+    def record(self, proven_at: float) -> bool:
+        """Record a proof; return whether it is newer than the last one."""
         if proven_at <= self.proven_at:
             return False
         self.proven_at = proven_at
@@ -29,5 +29,5 @@
 
     @property
     def age_seconds(self) -> float:
-        """How long ago the last proof was asked for; infinite without one."""
+        """Seconds since the query of the last proof; infinite without one."""
         return time.monotonic() - self.proven_at
--- a/src/cedarchute/fleet/configuration_prover.py
+++ b/src/cedarchute/fleet/configuration_prover.py
@@ -1,4 +1,4 @@
-"""Keeps what this box knows of the store from growing old without a word."""
+"""Bounds the staleness of the configuration that this box applies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cedarchute.decisions.staleness_limits import ReaderRank, RefreshStep
 from cedarchute.fleet.backoff import Backoff
 from cedarchute.fleet.state_messages import MirroredEntry
-from cedarchute.fleet.store_reader import EVERYTHING
+from cedarchute.fleet.store_reader import ALL_KEYS
 from cedarchute.platform.store_client import HistoryGoneError, StoreUnavailableError
 
 if TYPE_CHECKING:
@@ -28,20 +28,20 @@
 
 log = logging.getLogger("cedarchute.fleet")
 
-# An outage answers nobody, and each try costs money. Boxes with an answered renewal ask
-# again at once, so the others may wait long; readers try more often, since their whole
-# failure domain waits for them.
-LONGEST_RETRY_SECONDS: Final = 6.0
+# Upper bounds of the retry delay. Each attempt is billed, and a successful lease
+# renewal ends the delay at once, so it may be long. The first reader retries more often
+# because its whole failure domain depends on it.
+MAX_RETRY_SECONDS: Final = 6.0
 READER_RETRY_SECONDS: Final = 0.4
 
 
 class ConfigurationProver:
-    """Bounds the age of what this box knows, by whichever way it hears of changes.
+    """Renews the freshness proof of the configuration before it gets too old.
 
-    A watch and a reader tell of changes at once, but neither tells that it fell silent.
-    So one box of a failure domain asks the store every so often whether the
-    configuration is the newest, and tells that on with its age; any box whose proof
-    grows old asks the second reader, a box elsewhere and then the store by itself.
+    Watches and readers deliver changes at once, but a broken one cannot be told from an
+    idle one. The first reader of a failure domain therefore queries the store
+    periodically and passes the proof on with its age. A box with an old proof queries
+    the second reader, then a box of another domain, then the store.
     """
 
     def __init__(
@@ -62,59 +62,59 @@
         self.limits = limits
         self.metrics = metrics
         self.started_at = time.monotonic()
-        self.boxes_asked = 0
-        self.backoff = Backoff(LONGEST_RETRY_SECONDS)
-        self.may_ask_at = float("-inf")
-        self.asking: Event | None = None
+        self.peers_asked = 0
+        self.backoff = Backoff(MAX_RETRY_SECONDS)
+        self.retry_at = float("-inf")
+        self.query_done: Event | None = None
 
     @property
     def age_seconds(self) -> float:
-        """How long ago this box's configuration was certainly the newest."""
+        """Seconds since the configuration was last proven to be the newest."""
         return self.mirror.proof.age_seconds
 
     @property
     def unproven_seconds(self) -> float:
-        """The age of the last proof; before the first, the time since the start."""
+        """Age of the last proof; before the first one, the time since the start."""
         return min(self.age_seconds, time.monotonic() - self.started_at)
 
     def run_forever(self) -> None:
-        """Keep a proof at hand for the life of the process."""
+        """Renew the proof whenever it is due, until the process ends."""
         while True:
-            eventlet.sleep(self.find_wait())
+            eventlet.sleep(self.find_next_check_seconds())
             self.metrics.time("proof.age", cap_age(self.age_seconds))
-            self.keep_once()
+            self.refresh_if_due()
 
-    def find_wait(self) -> float:
-        """Return how long nothing is due."""
+    def find_next_check_seconds(self) -> float:
+        """Return the time until the next check."""
         first = self.limits.find_refresh_age(self.readers.find_rank())
         return max(self.limits.pause_seconds, first - self.unproven_seconds)
 
-    def keep_once(self) -> None:
-        """Do what the age of this box's knowledge asks for."""
+    def refresh_if_due(self) -> None:
+        """Run the refresh step that the age of the proof calls for, if any."""
         rank = self.readers.find_rank()
         step = self.limits.choose_refresh(rank, self.unproven_seconds)
         if step is RefreshStep.NOTHING:
-            self.boxes_asked = 0
+            self.peers_asked = 0
         elif step is RefreshStep.ASK_A_BOX:
             self.ask_a_box()
         else:
-            self.ask_unless_asking()
+            self.query_store_if_idle()
 
     def ask_a_box(self) -> None:
-        """Ask the next box that may have heard from the store since."""
-        address = self.puller.choose_informed(self.boxes_asked)
-        self.boxes_asked += 1
+        """Query the next box that may have a newer proof."""
+        address = self.puller.choose_refresh_peer(self.peers_asked)
+        self.peers_asked += 1
         if address is None:
             return
         self.metrics.count("proofs.boxes_asked")
         log.info(
-            "Knowledge is old, asking a box.",
+            "Configuration proof is old; querying another box.",
             extra={"box": str(address), "age": cap_age(self.age_seconds)},
         )
         self.puller.pull_from(address, self.limits.answer_seconds)
 
-    def find_pause(self) -> float:
-        """Return how long not to ask after a failure."""
+    def find_retry_seconds(self) -> float:
+        """Return the delay before the next query after a failure."""
         seconds = self.backoff.next_seconds()
         if self.readers.find_rank() is ReaderRank.FIRST:
             return min(seconds, READER_RETRY_SECONDS)
@@ -122,96 +122,96 @@
 
     @property
     def is_store_unavailable(self) -> bool:
-        """Whether other boxes answer, and know nothing newer either."""
-        return self.mirror.hears_boxes
+        """Whether other boxes respond, so that the fault is the store's."""
+        return self.mirror.has_recent_peer_state
 
     def note_reachable(self) -> None:
-        """Take in that the store answered another call of this box."""
-        self.may_ask_at = float("-inf")
+        """Allow the next query at once: another store call of this box succeeded."""
+        self.retry_at = float("-inf")
 
     def refresh(self, seconds: float) -> None:
-        """Ask now, for a call that needs a proof; return after `seconds` at most.
+        """Query the store for a call that needs a proof; wait `seconds` at most.
 
-        Returns at once while a failed try is not long ago.
+        Returns at once during the retry delay after a failure.
         """
-        if self.asking is None:
-            if time.monotonic() < self.may_ask_at:
+        if self.query_done is None:
+            if time.monotonic() < self.retry_at:
                 return
-            eventlet.spawn_n(self.ask_unless_asking)
+            eventlet.spawn_n(self.query_store_if_idle)
             eventlet.sleep(0)
-        asking = self.asking
-        if asking is not None:
+        query_done = self.query_done
+        if query_done is not None:
             with eventlet.Timeout(seconds, False):
-                asking.wait()
+                query_done.wait()
 
-    def ask_unless_asking(self) -> None:
-        """Ask the store once, unless that is under way or failed just now."""
-        if self.asking is not None or time.monotonic() < self.may_ask_at:
+    def query_store_if_idle(self) -> None:
+        """Query the store, unless a query is running or the retry delay applies."""
+        if self.query_done is not None or time.monotonic() < self.retry_at:
             return
-        self.asking = Event()
+        self.query_done = Event()
         try:
-            self.ask()
+            self.query_store()
         finally:
-            asking, self.asking = self.asking, None
-            asking.send(None)
+            query_done, self.query_done = self.query_done, None
+            query_done.send(None)
 
-    def ask(self) -> None:
-        """Read the configuration; what it says is in force at once."""
+    def query_store(self) -> None:
+        """Read the configuration from the store and apply it at once."""
         asked_at = time.monotonic()
         self.metrics.count("proofs.asked")
         try:
             reading = self.store.read(self.mirror.configuration_key)
-            # Before anything is taken in: an entry that lapsed in an outage does not
+            # Before any change is applied: an entry that lapsed in an outage does not
             # mean that its owner has left.
             self.reader.note_reachable(True)
-            self.reader.note_answered()
+            self.reader.record_success()
             self.take_entry(reading.entry)
             self.catch_up(reading, asked_at)
         except HistoryGoneError as error:
-            self.reader.read_anew(str(error))
+            self.reader.restart_with_listing(str(error))
         except StoreUnavailableError as error:
-            self.note_failed(str(error))
+            self.record_failure(str(error))
             return
         self.backoff.reset()
 
-    def note_failed(self, why: str) -> None:
-        """Take in that the store did not answer."""
+    def record_failure(self, why: str) -> None:
+        """Record a failed query and start the retry delay."""
         self.metrics.count("proofs.failed")
-        self.may_ask_at = time.monotonic() + self.find_pause()
+        self.retry_at = time.monotonic() + self.find_retry_seconds()
         log.info(
-            "Configuration not proven.",
+            "Configuration freshness check failed.",
             extra={"why": why, "age": cap_age(self.age_seconds)},
         )
         self.reader.note_reachable(False)
 
     def take_entry(self, entry: StoreEntry | None) -> None:
-        """Put the configuration that the store named in force."""
+        """Apply the configuration that was read from the store."""
         if entry is not None:
             found = MirroredEntry(entry.key, entry.value, entry.version)
             self.mirror.take_entry(found)
 
     def note_proof(self, entry: StoreEntry | None, asked_at: float) -> None:
-        """Take in the proof, and tell listeners."""
+        """Record the proof and notify the boxes that poll this one."""
         age_before = self.age_seconds
         self.mirror.note_proof(entry.version if entry else 0, asked_at)
-        self.mirror.announce()
+        self.mirror.notify_waiters()
         if age_before > self.limits.store_seconds:
             log.info(
-                "Configuration proven again.",
+                "Configuration freshness confirmed again.",
                 extra={"age_before": cap_age(age_before)},
             )
 
     def catch_up(self, reading: StoreReading, asked_at: float) -> None:
-        """Fetch what the store knows and no watch has told; then it is proven.
+        """Fetch the changes that no watch has delivered, then record the proof.
 
-        A proof told before that would leave listeners without the rest until they ask
-        again, later than a change has to be known. When the rest does not come, the
-        proof of the configuration holds all the same.
+        With the proof first, polling boxes would return without these changes and
+        receive them too late. The proof covers the configuration only, so it is
+        recorded even when the fetch fails.
 
         Raises
         ------
         StoreUnavailableError
-            When the rest does not come; `HistoryGoneError` when it is no longer there.
+            When the fetch fails; `HistoryGoneError` when the changes were compacted.
         """
         try:
             self.fetch_changes(reading.revision, asked_at)
@@ -219,11 +219,11 @@
             self.note_proof(reading.entry, asked_at)
 
     def fetch_changes(self, revision: int, asked_at: float) -> None:
-        """Take in the changes up to `revision`, unless all is to be read anyway."""
+        """Apply the changes up to `revision`, unless a full listing is due."""
         after = self.mirror.revision
-        if self.reader.must_list or after >= revision:
+        if self.reader.needs_listing or after >= revision:
             return
-        changes, known = self.store.wait_changes(EVERYTHING, after, 0.0)
+        changes, new_revision = self.store.wait_changes(ALL_KEYS, after, 0.0)
         self.metrics.count("proofs.caught_up")
-        self.mirror.take_changes(changes, known)
-        self.reader.note_overdue(asked_at)
+        self.mirror.apply_changes(changes, new_revision)
+        self.reader.restart_silent_watch(asked_at)
--- a/src/cedarchute/fleet/followers.py
+++ b/src/cedarchute/fleet/followers.py
@@ -1,4 +1,4 @@
-"""Takes what Cedarchute keeps in the store into the books of this box."""
+"""Applies store entries of boxes and seats to the tables of this box."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 def read_box(name: str, text: str) -> BoxEntry:
-    """Return the box in `text`; raise ValueError or MsgspecError when it is none."""
+    """Parse a box entry; raise ValueError or MsgspecError if it is invalid."""
     entry = msgspec.json.decode(text, type=BoxEntry)
     if entry.name != name:
-        raise ValueError(f"it names the box {entry.name!r}")
+        raise ValueError(f"entry belongs to box {entry.name!r}")
     Address.parse(entry.peers)
     if entry.callers:
         Address.parse(entry.callers)
@@ -30,7 +30,7 @@
 
 
 def read_seats(text: str) -> SeatTable:
-    """Return the table in `text`; raise ValueError or MsgspecError when it is none."""
+    """Parse a seat table; raise ValueError or MsgspecError if it is invalid."""
     table = msgspec.json.decode(text, type=SeatTable)
     if table.version < 1 or table.losses < 0:
         raise ValueError(f"version {table.version}, losses {table.losses}")
@@ -41,10 +41,10 @@
 
 
 class BoxFollower:
-    """Takes in the entries of boxes.
+    """Applies box entries to the directory.
 
-    One that cannot be read leaves the box as it was known: only the box itself writes
-    there, and what others wrote over it says nothing of the box.
+    An invalid entry leaves the known one in place: only the box itself writes its key,
+    so an entry overwritten by others says nothing about the box.
     """
 
     def __init__(self, directory: BoxDirectory, turned_away: TurnedAway) -> None:
@@ -52,37 +52,37 @@
         self.turned_away = turned_away
 
     def put(self, key: str, value: str) -> None:
-        """Take in a box."""
+        """Add or update a box."""
         try:
             self.directory.put(read_box(key, value))
         except (msgspec.MsgspecError, RecursionError, ValueError) as error:
             self.turned_away.note("box", key, str(error))
 
     def remove(self, key: str) -> None:
-        """Take in that a box is gone."""
+        """Remove a box."""
         self.directory.remove(key)
 
     def note_store_back(self) -> None:
-        """Give boxes time to come back."""
+        """Start the grace period for entries that lapsed in the outage."""
         self.directory.known.note_store_back()
 
 
 class SeatFollower:
-    """Takes in the table of seats."""
+    """Applies the seat table."""
 
     def __init__(self, seats: ActiveSeatTable, turned_away: TurnedAway) -> None:
         self.seats = seats
         self.turned_away = turned_away
 
     def put(self, key: str, value: str) -> None:
-        """Take in a table."""
+        """Update the seat table."""
         try:
             self.seats.update(read_seats(value), "store")
         except (msgspec.MsgspecError, RecursionError, ValueError) as error:
             self.turned_away.note("seats", SEATS_KEY, str(error))
 
     def remove(self, key: str) -> None:
-        """Keep the table: nobody removes it on purpose."""
+        """Ignore the removal: the table is never removed on purpose."""
 
     def note_store_back(self) -> None:
-        """Nothing of it lapses."""
+        """Do nothing: the seat table has no lease."""
--- a/src/cedarchute/fleet/holder_contact.py
+++ b/src/cedarchute/fleet/holder_contact.py
@@ -1,4 +1,4 @@
-"""Sends callers elsewhere while this box is cut off from the holders."""
+"""Drains this box while it cannot reach a quorum of holders."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class HolderContact:
-    """Watches what turns meet; probes only while they are refused."""
+    """Tracks the results of turn writes; probes the holders only while they fail."""
 
     def __init__(
         self,
@@ -32,29 +32,29 @@
         self.quorum = quorum
         self.registration = registration
         self.is_stopping = is_stopping
-        self.lost = False
+        self.isolated = False
 
     def run_forever(self) -> None:
-        """Look after the contact for the life of the process."""
+        """Check the connection to the holders until the process ends."""
         while True:
             eventlet.sleep(PERIOD_SECONDS)
             if not self.is_stopping():
                 self.check_once()
 
     def check_once(self) -> None:
-        """Take this box out of the list of entries, or put it back."""
+        """Publish this box as draining while it is isolated from the holders."""
         if self.quorum.fanout.failing_since is not None:
             self.try_probe()
-        lost = self.quorum.fanout.is_isolated
-        if lost == self.lost:
+        isolated = self.quorum.fanout.is_isolated
+        if isolated == self.isolated:
             return
-        self.lost = lost
-        log.warning("Holders lost." if lost else "Holders answer.")
-        self.registration.tell_leaving(lost)
+        self.isolated = isolated
+        log.warning("Holders unreachable." if isolated else "Holders reachable again.")
+        self.registration.publish_draining(isolated)
 
     def try_probe(self) -> None:
-        """Find out whether the holders answer again."""
+        """Probe whether the holders respond again."""
         try:
             self.quorum.probe()
         except NoQuorumError as error:
-            log.debug("Holders do not answer: %s", error)
+            log.debug("Holder probe failed: %s", error)
--- a/src/cedarchute/fleet/lapsing_entries.py
+++ b/src/cedarchute/fleet/lapsing_entries.py
@@ -1,4 +1,4 @@
-"""Entries under leases, told from entries that only lapsed with the store."""
+"""Leased entries, with a grace period for those that lapse in a store outage."""
 
 from __future__ import annotations
 
@@ -10,60 +10,61 @@
 
 EntryT = TypeVar("EntryT")
 
-# Entries that lapsed while the store was away come back within two seconds of its
-# return if their owner lives; the rest is for the way.
+# How long an entry that lapsed in an outage is kept: owners that are alive register
+# again within two seconds of the recovery, and the change has to be propagated.
 LAPSE_GRACE_SECONDS: Final = 2.2
-# Leases run out while the store is away, so what lapsed is told at its return. What
-# goes later than this has left.
-LAPSE_SEEN_SECONDS: Final = 1.0
+# Removals caused by an outage are reported right after the recovery. A removal later
+# than this was made by the owner.
+LAPSE_DETECTION_SECONDS: Final = 1.0
 
 
 class LapsingEntries(Generic[EntryT]):
-    """Keeps an entry whose lease ran out around an outage of the store.
+    """Keeps entries whose leases ran out in an outage of the store.
 
-    An entry that goes while the store is sound means that its owner has left. One
-    that goes around an outage is kept until it had time to come back.
+    While the store is available, a removed entry means that its owner has left. After
+    an outage, a removed entry is kept for a grace period so that its owner can register
+    again.
     """
 
     def __init__(self, on_gone: Callable[[EntryT], None]) -> None:
         self.on_gone = on_gone
         self.entries: dict[str, EntryT] = {}
         self.lapsed: dict[str, float] = {}
-        self.store_back_at = float("-inf")
+        self.store_recovered_at = float("-inf")
 
     def put(self, name: str, entry: EntryT) -> EntryT | None:
-        """Take in an entry; return the one before."""
+        """Set an entry; return the previous one."""
         before = self.entries.get(name)
         self.lapsed.pop(name, None)
         self.entries[name] = entry
         return before
 
     def remove(self, name: str) -> bool:
-        """Take in that an entry is gone; return whether it was dropped at once."""
+        """Remove an entry, or start its grace period; return whether it was dropped."""
         if name not in self.entries:
             return False
-        if time.monotonic() < self.store_back_at + LAPSE_SEEN_SECONDS:
-            until = self.store_back_at + LAPSE_GRACE_SECONDS
-            self.lapsed.setdefault(name, until)
+        if time.monotonic() < self.store_recovered_at + LAPSE_DETECTION_SECONDS:
+            deadline = self.store_recovered_at + LAPSE_GRACE_SECONDS
+            self.lapsed.setdefault(name, deadline)
             return False
         self.drop(name)
         return True
 
     def note_store_back(self) -> None:
-        """Take in that the store answers again after an outage."""
-        self.store_back_at = time.monotonic()
+        """Record that the store recovered from an outage."""
+        self.store_recovered_at = time.monotonic()
 
     def expire(self) -> list[str]:
-        """Drop the entries that did not come back; return their names."""
+        """Drop the entries whose grace period is over; return their names."""
         now = time.monotonic()
-        over = [name for name, until in self.lapsed.items() if until <= now]
-        for name in over:
+        expired = [name for name, deadline in self.lapsed.items() if deadline <= now]
+        for name in expired:
             del self.lapsed[name]
             self.drop(name)
-        return over
+        return expired
 
     def drop(self, name: str) -> None:
-        """Forget an entry."""
+        """Drop an entry and notify `on_gone`."""
         entry = self.entries.pop(name, None)
         if entry is not None:
             self.on_gone(entry)
--- a/src/cedarchute/fleet/metrics_app.py
+++ b/src/cedarchute/fleet/metrics_app.py
@@ -14,7 +14,7 @@
 
 
 class MetricsApp:
-    """A WSGI application with one page."""
+    """WSGI application that serves the metrics page."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
@@ -22,7 +22,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle a request."""
         if environ["PATH_INFO"] != METRICS_PATH:
             start_response("404 Not Found", [("Content-Length", "0")])
             return [b""]
--- a/src/cedarchute/fleet/peer_server.py
+++ b/src/cedarchute/fleet/peer_server.py
@@ -1,4 +1,4 @@
-"""What a box answers to other boxes and to whoever reads its metrics."""
+"""HTTP server of a box for other boxes and for metrics scrapers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     from cedarchute.turns.holder_app import HolderApp
 
 JSON_TYPE: Final = "application/json"
-# A box that asks and waits holds a connection and a task here.
-LONGEST_WAIT_SECONDS: Final = 5.0
+# Upper bound of a long poll, which occupies a connection and a task here.
+MAX_WAIT_SECONDS: Final = 5.0
 
 
 class PeerServer:
-    """A WSGI application; holders answer about their records too."""
+    """WSGI application for store state, metrics and, on holders, turn records."""
 
     def __init__(
         self, mirror: StoreMirror, metrics: Metrics, holder: HolderApp | None = None
@@ -35,7 +35,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle a request."""
         path = environ["PATH_INFO"]
         if path == STATE_PATH:
             return self.answer_state(environ, start_response)
@@ -48,22 +48,22 @@
     def answer_state(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Tell what this box knows of the store."""
+        """Return the store state of this box, after a long poll if requested."""
         asked_at = time.monotonic()
         body = environ["wsgi.input"].read()
         try:
             asked = msgspec.json.decode(body, type=AskState)
         except msgspec.MsgspecError:
             return self.reply(start_response, "400 Bad Request", b"{}")
-        wait_seconds = min(asked.wait_seconds, LONGEST_WAIT_SECONDS)
-        self.mirror.wait_news(asked.after, wait_seconds)
+        wait_seconds = min(asked.wait_seconds, MAX_WAIT_SECONDS)
+        self.mirror.wait_for_update(asked.after, wait_seconds)
         state = self.mirror.tell(asked.after, asked.takes_keys, asked_at)
         return self.reply(start_response, "200 OK", msgspec.json.encode(state))
 
     def reply(
         self, start_response: Callable[..., Any], status: str, body: bytes
     ) -> list[bytes]:
-        """Start an answer and return its body."""
+        """Start a response and return its body."""
         fields = [("Content-Type", JSON_TYPE), ("Content-Length", str(len(body)))]
         start_response(status, fields)
         return [body]
--- a/src/cedarchute/fleet/reader_choice.py
+++ b/src/cedarchute/fleet/reader_choice.py
@@ -1,4 +1,4 @@
-"""Which boxes read the store for the others of their failure domain."""
+"""Selects the boxes that read the store for their failure domain."""
 
 from __future__ import annotations
 
@@ -11,16 +11,15 @@
     from cedarchute.fleet.box_directory import BoxDirectory
     from cedarchute.fleet.box_entry import BoxEntry
 
-# Each reader's calls cost money, and one alone would be missed when it goes: the first
-# watches the store, the second listens to the first and watches once that is silent.
+# Store calls are billed, so only the first reader watches the store. The second polls
+# the first and takes over when that one fails.
 READERS_PER_DOMAIN: Final = 2
 
 
 class ReaderChoice:
-    """Names the readers by the order of names: every box finds the same ones.
+    """Selects readers by name order, so that all boxes agree without coordination.
 
-    Calls to the store then grow with the number of failure domains and not with that
-    of the boxes.
+    The load on the store grows with the number of failure domains, not of boxes.
     """
 
     def __init__(self, directory: BoxDirectory, me: BoxEntry) -> None:
@@ -28,23 +27,25 @@
         self.me = me
 
     def list_readers(self) -> list[BoxEntry]:
-        """Return the readers of this box's failure domain; none without entries."""
+        """Return the readers of this box's domain; empty without entry boxes."""
         boxes = self.directory.list_boxes(Role.ENTRY)
-        near = [box for box in boxes if box.failure_domain == self.me.failure_domain]
-        near.sort(key=lambda box: box.name)
-        return near[:READERS_PER_DOMAIN]
+        candidates = [
+            box for box in boxes if box.failure_domain == self.me.failure_domain
+        ]
+        candidates.sort(key=lambda box: box.name)
+        return candidates[:READERS_PER_DOMAIN]
 
     def find_rank(self) -> ReaderRank:
-        """Return the part of this box; without readers it is its own."""
+        """Return the rank of this box; first when its domain has no readers."""
         names = [reader.name for reader in self.list_readers()]
         if not names or self.me.name == names[0]:
             return ReaderRank.FIRST
         return ReaderRank.SECOND if self.me.name in names else ReaderRank.LISTENER
 
-    def choose(self, turn: int) -> BoxEntry | None:
-        """Return the reader to listen to in a turn; None when this box reads itself."""
+    def choose(self, poll_number: int) -> BoxEntry | None:
+        """Return the reader to poll, in rotation; None when this box is the reader."""
         readers = self.list_readers()
         if not readers or self.me.name == readers[0].name:
             return None
         others = [reader for reader in readers if reader.name != self.me.name]
-        return others[turn % len(others)]
+        return others[poll_number % len(others)]
--- a/src/cedarchute/fleet/registration.py
+++ b/src/cedarchute/fleet/registration.py
@@ -1,4 +1,4 @@
-"""Keeps the entry of this box in the store, under a lease."""
+"""Registers this box in the store under a lease."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 log = logging.getLogger("cedarchute.fleet")
 
 BOXES_PREFIX: Final = "cedarchute/boxes/"
-# How long a box that dies is still named to callers, who skip what does not answer.
+# How long a failed box stays in the addresses for callers, who skip boxes that do not
+# respond.
 LEASE_SECONDS: Final = 5.4
-# Two renewals may be lost before the lease runs out. Boxes at rest make no other calls,
-# and one whose lease lapsed with the store has to be back before others drop it.
+# A third of the lease, so that two renewals may fail. After an outage a box also has to
+# register again before other boxes drop its lapsed entry.
 RENEW_SECONDS: Final = 1.8
-# Each call to the store costs money, also one that it refuses, and every box calls.
-# Entries have to be back within some 2 s of the store's return, though.
-LONGEST_RETRY_SECONDS: Final = 1.5
-# Calls to the store are the largest price of a large fleet at rest; a line this often
-# tells what they were for.
-TELL_CALLS_SECONDS: Final = 5.0
+# Upper bound of the retry delay. Store calls are billed, also rejected ones, but
+# entries have to be back within about 2 s of the end of an outage.
+MAX_RETRY_SECONDS: Final = 1.5
+# How often the counts of store calls are logged, by kind.
+CALL_LOG_PERIOD_SECONDS: Final = 5.0
 
 
 class Registration:
-    """Writes the entry, renews its lease, writes it again when it was lost."""
+    """Writes the entry, renews its lease and registers again after a lost lease."""
 
     def __init__(
         self,
@@ -50,21 +50,21 @@
         self.entry = entry
         self.metrics = metrics
         self.lease: int | None = None
-        self.backoff = Backoff(LONGEST_RETRY_SECONDS)
-        self.tell_calls_at = 0.0
+        self.backoff = Backoff(MAX_RETRY_SECONDS)
+        self.next_call_log_at = 0.0
 
     def run_forever(self) -> None:
-        """Stay registered for the life of the process."""
+        """Keep the registration until the process ends."""
         while True:
             try:
                 self.renew_once()
                 self.note_reachable(True)
                 self.backoff.reset()
-                self.tell_calls()
+                self.log_store_calls()
                 eventlet.sleep(RENEW_SECONDS)
             except (StoreUnavailableError, LeaseGoneError) as error:
                 self.metrics.count("registration.failures")
-                log.info("Not registered.", extra={"why": str(error)})
+                log.info("Registration failed.", extra={"why": str(error)})
                 if isinstance(error, LeaseGoneError):
                     self.lease = None
                 else:
@@ -72,7 +72,7 @@
                     eventlet.sleep(self.backoff.next_seconds())
 
     def renew_once(self) -> None:
-        """Renew the lease, or take one and write the entry under it."""
+        """Renew the lease, or acquire one and write the entry under it."""
         if self.lease is not None:
             self.store.renew_lease(self.lease)
             return
@@ -81,37 +81,39 @@
         self.lease = lease
         log.info("Registered.", extra={"lease": lease})
 
-    def tell_calls(self) -> None:
-        """Log now and then how often this box called the store, and for what."""
+    def log_store_calls(self) -> None:
+        """Log the counts of store calls once per period."""
         now = time.monotonic()
-        if now < self.tell_calls_at:
+        if now < self.next_call_log_at:
             return
-        self.tell_calls_at = now + TELL_CALLS_SECONDS
+        self.next_call_log_at = now + CALL_LOG_PERIOD_SECONDS
         totals = self.metrics.totals.items()
         calls = {name: n for name, n in totals if name.startswith("store.")}
         log.info("Calls to the store.", extra={"calls": calls})
 
     def write(self, lease: int) -> None:
-        """Write the entry as it is now."""
+        """Write the current entry under `lease`."""
         text = msgspec.json.encode(self.entry).decode()
         self.store.put(BOXES_PREFIX + self.entry.name, text, lease)
 
     def leave(self) -> None:
-        """Tell everyone that this box takes nothing new."""
-        self.tell_leaving(True)
+        """Mark this box as draining: it accepts no new work."""
+        self.publish_draining(True)
 
-    def tell_leaving(self, leaving: bool) -> None:
-        """Tell everyone whether this box takes anything new."""
+    def publish_draining(self, leaving: bool) -> None:
+        """Publish whether this box is draining."""
         self.entry = msgspec.structs.replace(self.entry, leaving=leaving)
         if self.lease is None:
             return
         try:
             self.write(self.lease)
         except (StoreUnavailableError, LeaseGoneError) as error:
-            log.warning("Leaving was not told.", extra={"why": str(error)})
+            log.warning(
+                "Draining state could not be published.", extra={"why": str(error)}
+            )
 
     def end(self) -> None:
-        """Give the lease back, and the entry with it."""
+        """Revoke the lease, which removes the entry."""
         if self.lease is None:
             return
         try:
--- a/src/cedarchute/fleet/state_client.py
+++ b/src/cedarchute/fleet/state_client.py
@@ -1,4 +1,4 @@
-"""Asks another box what it knows of the store."""
+"""HTTP client for the store state of another box."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 if TYPE_CHECKING:
     from cedarchute.address import Address
 
-# Beyond the time that the other box may wait: its answer is small, the way short.
+# Response timeout, in addition to the long poll at the other box.
 ANSWER_SECONDS: Final = 0.4
-KEPT_HOSTS: Final = 4
+MAX_POOLED_HOSTS: Final = 4
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
 
 
-class StateNotToldError(Exception):
-    """The other box did not answer, or not as boxes do."""
+class StateUnavailableError(Exception):
+    """The other box sent no response, or an invalid one."""
 
     code = "state_not_told"
 
 
 class StateClient:
-    """Keeps one connection to each of the few boxes asked last."""
+    """Keeps one connection to each of the most recently queried boxes."""
 
     def __init__(self) -> None:
-        self.pools = HostPools(1, hosts=KEPT_HOSTS)
+        self.pools = HostPools(1, hosts=MAX_POOLED_HOSTS)
 
     def ask(
         self,
@@ -38,19 +38,19 @@
         wait_seconds: float = 0.0,
         answer_seconds: float = ANSWER_SECONDS,
     ) -> State:
-        """Return what a box knows beyond the revision `after`.
+        """Return the state of a box after revision `after`.
 
         Parameters
         ----------
         wait_seconds : float
-            How long the other box may wait for something new.
+            How long the other box may wait for a change.
         answer_seconds : float
-            How long its answer may take beyond that.
+            Response timeout in addition to `wait_seconds`.
 
         Raises
         ------
         StateNotToldError
-            When no usable answer came in time.
+            When no valid response arrived in time.
         """
         try:
             response = self.pools.request(
@@ -67,4 +67,4 @@
             )
             return msgspec.json.decode(response.data, type=State)
         except (urllib3.exceptions.HTTPError, OSError, msgspec.MsgspecError) as error:
-            raise StateNotToldError(f"{address}: {error}") from error
+            raise StateUnavailableError(f"{address}: {error}") from error
--- a/src/cedarchute/fleet/state_messages.py
+++ b/src/cedarchute/fleet/state_messages.py
@@ -1,4 +1,4 @@
-"""How boxes tell each other what they know of the store."""
+"""Messages in which boxes exchange their store state."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import msgspec
 
-# Where boxes ask each other what they know of the store.
+# HTTP path of the state request.
 STATE_PATH: Final = "/fleet/state"
 
 
 class MirroredEntry(msgspec.Struct, frozen=True):
-    """An entry of the store at the revision of its last change."""
+    """A store entry with the revision of its last change."""
 
     key: str
     value: str
@@ -19,22 +19,22 @@
 
 
 class Removal(msgspec.Struct, frozen=True):
-    """A key that went away."""
+    """A removed key with the revision of the removal."""
 
     key: str
     revision: int
 
 
 class AskState(msgspec.Struct, frozen=True):
-    """Tell what changed after a revision; None asks for all.
+    """Request for the changes after a revision, or for the full state if None.
 
     Attributes
     ----------
     wait_seconds : float
-        How long to wait for a change, or for the store to be lost or back.
+        How long to wait for a change, or for the store to fail or recover.
     takes_keys : bool
-        Whether the asker understands `State.keys`; an earlier release does not, and
-        is told everything instead.
+        Whether the client understands `State.keys`; clients of an earlier release
+        do not, and get the full state instead.
     """
 
     after: int | None = None
@@ -43,25 +43,25 @@
 
 
 class State(msgspec.Struct, frozen=True):
-    """What a box knows of the store.
+    """State of the store as known to a box.
 
     Attributes
     ----------
     revision : int
-        Up to which changes are known; 0 when none are.
+        Revision up to which changes are known; 0 when none are.
     is_whole : bool
-        Whether `entries` is everything, not only what changed.
+        Whether `entries` holds the full state, not only changes.
     steady_seconds : float
-        For how long the store has answered that box, 0 when it does not.
+        How long the store has been available to that box; 0 while it is not.
     keys : tuple of str or None
-        Every key that is there, when the removals since the asker's revision are not
-        known one by one; None when they are. It is a tenth of the whole: after a
-        start every box asks two readers with a revision just before theirs.
+        All existing keys, when the removals since the requested revision are no longer
+        kept; None otherwise. Smaller than the full state, which matters when all boxes
+        start and poll readers that are slightly ahead.
     proof_age_seconds : float or None
-        How long before the question arrived the configuration that this box has was
-        certainly the newest, negative for a proof since then; None without one.
+        Age of the freshness proof of the configuration when the request arrived;
+        negative for a newer proof, None without one.
     proof_revision : int
-        The revision of that configuration.
+        Revision of that configuration.
     """
 
     revision: int
--- a/src/cedarchute/fleet/state_puller.py
+++ b/src/cedarchute/fleet/state_puller.py
@@ -1,4 +1,4 @@
-"""Asks another box what changed in the store while the store does not tell."""
+"""Pulls store state from other boxes while the store is unavailable."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cedarchute.fleet.state_client import (
     ANSWER_SECONDS,
     StateClient,
-    StateNotToldError,
+    StateUnavailableError,
 )
 
 if TYPE_CHECKING:
@@ -27,15 +27,15 @@
 log = logging.getLogger("cedarchute.fleet")
 
 PERIOD_SECONDS: Final = 0.4
-# A watch that was cut is back at once; boxes are asked only when it is not.
-LOST_SECONDS: Final = 0.6
+# A dropped watch reconnects at once; other boxes are queried only in longer outages.
+UNAVAILABLE_SECONDS: Final = 0.6
 
 
 class StatePuller:
-    """Asks one box, drawn by chance, in each period; nothing while the store answers.
+    """Pulls from one random box per period while the store is unavailable.
 
-    The store may turn some boxes away and serve the others: what one box knows
-    reaches all within a few periods, whatever their number.
+    The store may be reachable from some boxes only. Pulling spreads their state like a
+    gossip protocol: it reaches all boxes within a few periods, whatever their number.
     """
 
     def __init__(
@@ -55,64 +55,64 @@
         self.chance = chance
         self.metrics = metrics
         self.readers = readers
-        self.turn = 0
+        self.poll_number = 0
         self.client = StateClient()
 
     def run_forever(self) -> None:
-        """Look after the mirror for the life of the process."""
+        """Pull whenever the store is unavailable, until the process ends."""
         while True:
             eventlet.sleep(PERIOD_SECONDS)
-            if self.mirror.lost_seconds > LOST_SECONDS:
+            if self.mirror.unavailable_seconds > UNAVAILABLE_SECONDS:
                 self.pull_once()
 
     def pull_once(self) -> None:
-        """Ask one box."""
-        address = self.choose_box()
+        """Pull from one box."""
+        address = self.choose_peer()
         if address is not None:
             self.pull_from(address, ANSWER_SECONDS)
 
     def pull_from(self, address: Address, answer_seconds: float) -> None:
-        """Take in what the box at `address` knows, if it answers in time."""
+        """Apply the state of the box at `address`, if it responds in time."""
         asked_at = time.monotonic()
         try:
             state = self.client.ask(
                 address, self.mirror.revision or None, 0.0, answer_seconds
             )
-        except StateNotToldError as error:
+        except StateUnavailableError as error:
             self.metrics.count("state.failures")
-            log.debug("Box not asked: %s", error)
+            log.debug("State request failed: %s", error)
             return
         if self.mirror.take_state(state, asked_at):
             self.metrics.count("state.taken")
             log.info(
-                "State taken from a box.",
+                "Applied state from another box.",
                 extra={"box": str(address), "revision": state.revision},
             )
 
-    def choose_box(self) -> Address | None:
-        """Return a box to ask: a reader of this failure domain, any other in turn.
+    def choose_peer(self) -> Address | None:
+        """Return a peer: a reader of this domain and any other box, alternately.
 
-        Readers ask the store most often, so they know first that it is back.
+        Readers query the store most often, so they notice its recovery first.
         """
-        self.turn += 1
-        reader = self.readers.choose(self.turn // 2)
-        if reader is not None and self.turn % 2:
+        self.poll_number += 1
+        reader = self.readers.choose(self.poll_number // 2)
+        if reader is not None and self.poll_number % 2:
             return Address.parse(reader.peers)
         entries = self.directory.known.entries.values()
         known = [Address.parse(e.peers) for e in entries if e.name != self.me]
         candidates = known or self.seeds
         return self.chance.choice(candidates) if candidates else None
 
-    def choose_informed(self, turn: int) -> Address | None:
-        """Return a box that may know more while the first reader is silent.
+    def choose_refresh_peer(self, poll_number: int) -> Address | None:
+        """Return a peer that may have a newer state while the first reader is silent.
 
-        In turn the second reader of this failure domain, which reads in place of the
-        first, and an entry of another domain, which has readers of its own.
+        Alternates between the second reader of this failure domain, which replaces the
+        first, and an entry box of another domain, which has its own readers.
         """
-        seconds = self.readers.list_readers()[1:]
-        if seconds and turn % 2 == 0:
-            return Address.parse(seconds[0].peers)
+        second_readers = self.readers.list_readers()[1:]
+        if second_readers and poll_number % 2 == 0:
+            return Address.parse(second_readers[0].peers)
         domain = self.readers.me.failure_domain
         entries = self.directory.list_boxes(Role.ENTRY)
-        far = [entry for entry in entries if entry.failure_domain != domain]
-        return Address.parse(self.chance.choice(far).peers) if far else None
+        remote = [entry for entry in entries if entry.failure_domain != domain]
+        return Address.parse(self.chance.choice(remote).peers) if remote else None
--- a/src/cedarchute/fleet/store_follower.py
+++ b/src/cedarchute/fleet/store_follower.py
@@ -1,4 +1,4 @@
-"""What takes in the entries of one part of the store."""
+"""Protocol of consumers of store entries."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class StoreFollower(Protocol):
-    """Takes in the entries under one prefix; keys come without the prefix."""
+    """Consumes the entries under one prefix; keys come without the prefix."""
 
     def put(self, key: str, value: str) -> None:
-        """Take in an entry as it is now."""
+        """Handle a new or changed entry."""
         ...
 
     def remove(self, key: str) -> None:
-        """Take in that an entry is gone."""
+        """Handle the removal of an entry."""
         ...
 
     def note_store_back(self) -> None:
-        """Take in that the store answers again after an outage."""
+        """Handle the recovery of the store from an outage."""
         ...
--- a/src/cedarchute/fleet/store_mirror.py
+++ b/src/cedarchute/fleet/store_mirror.py
@@ -1,4 +1,4 @@
-"""What this box knows of the store, from the store itself or from another box."""
+"""Local copy of the store's entries, fed by the store or by another box."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 log = logging.getLogger("cedarchute.fleet")
 
-# Removals remembered for boxes that ask what changed; one that asks for more is told
-# every key that is left.
-KEPT_REMOVALS: Final = 512
-# A box whose store has answered for this long has seen no outage that entries lapse
-# in and come back from.
+# Removals kept for boxes that request changes; a box that is further behind receives
+# the list of remaining keys instead.
+MAX_KEPT_REMOVALS: Final = 512
+# A box that has reached the store for this long is past the time in which entries
+# lapse in an outage and are written again.
 STEADY_SECONDS: Final = 3.0
-# What another box said of that holds for this long: some periods of asking.
-HEARSAY_SECONDS: Final = 1.5
+# How long a state from another box counts as current: a few polling periods.
+PEER_STATE_VALID_SECONDS: Final = 1.5
 
 
 class StoreMirror:
-    """Hands every entry to the follower of its prefix; never goes back.
+    """Passes each entry to the follower of its prefix; revisions never decrease.
 
-    While the store is away everything stays as it was: its silence says nothing
-    about anyone else.
+    While the store is unavailable all entries are kept: an outage of the store says
+    nothing about the boxes and targets registered there.
 
     Attributes
     ----------
     configuration_key : str
-        Where the operators' configuration stands in the store.
+        Key of the operators' configuration in the store.
     proof : ConfigurationProof
-        When that was certainly the newest.
+        When the configuration was last known to be the newest.
     """
 
     def __init__(
@@ -51,30 +51,36 @@
         self.configuration_key = configuration_key
         self.proof = ConfigurationProof()
         self.entries: dict[str, MirroredEntry] = {}
-        self.removals: deque[Removal] = deque(maxlen=KEPT_REMOVALS)
+        self.removals: deque[Removal] = deque(maxlen=MAX_KEPT_REMOVALS)
         self.revision = 0
         self.complete_after = 0
-        self.lost_since: float | None = time.monotonic()
-        self.back_at = time.monotonic()
-        self.others_steady_at = float("-inf")
-        self.heard_at = float("-inf")
-        self.news = Event()
+        self.unavailable_since: float | None = time.monotonic()
+        self.available_since = time.monotonic()
+        self.peers_steady_at = float("-inf")
+        self.peer_state_at = float("-inf")
+        self.updated = Event()
 
     @property
     def steady_seconds(self) -> float:
-        """For how long the store has answered, 0 when it does not."""
-        return 0.0 if self.lost_since else time.monotonic() - self.back_at
+        """How long the store has been available; 0 while it is not."""
+        return (
+            0.0 if self.unavailable_since else time.monotonic() - self.available_since
+        )
 
     @property
-    def lost_seconds(self) -> float:
-        """For how long the store has not answered, 0 when it does."""
-        return 0.0 if self.lost_since is None else time.monotonic() - self.lost_since
+    def unavailable_seconds(self) -> float:
+        """How long the store has been unavailable; 0 while it is available."""
+        return (
+            0.0
+            if self.unavailable_since is None
+            else time.monotonic() - self.unavailable_since
+        )
 
-    def take_listing(self, listing: StoreListing) -> bool:
-        """Take in everything, as the store listed it; return whether it was of use.
+    def apply_listing(self, listing: StoreListing) -> bool:
+        """Apply a full listing; return False if it is older than the known state.
 
-        One that is older than what another box has told meanwhile may hold entries
-        that are gone, and nothing would tell of that again.
+        An older listing may hold entries that another box has reported as removed, and
+        no later change would remove them again.
         """
         if listing.revision < self.revision:
             return False
@@ -83,103 +89,104 @@
         return True
 
     def replace_all(self, entries: list[MirroredEntry], revision: int) -> None:
-        """Take in every entry, and what is no longer there."""
+        """Replace the contents with `entries`; remove every other key."""
         for entry in entries:
             self.take_entry(entry)
-        self.keep_only({entry.key for entry in entries}, revision)
+        self.remove_other_keys({entry.key for entry in entries}, revision)
         self.removals.clear()
         self.complete_after = revision
         self.revision = max(self.revision, revision)
-        self.announce()
+        self.notify_waiters()
 
-    def keep_only(self, keys: set[str], revision: int) -> None:
-        """Hand over that every other key was gone at a revision."""
+    def remove_other_keys(self, keys: set[str], revision: int) -> None:
+        """Remove every key outside `keys`, as of a revision."""
         for key in [known for known in self.entries if known not in keys]:
-            self.take_removal(Removal(key, revision))
+            self.apply_removal(Removal(key, revision))
 
-    def take_changes(self, changes: list[StoreChange], revision: int) -> None:
-        """Take in changes, as the store told them."""
+    def apply_changes(self, changes: list[StoreChange], revision: int) -> None:
+        """Apply changes that the store reported."""
         for change in changes:
             if change.entry is None:
-                self.take_removal(Removal(change.key, change.revision))
+                self.apply_removal(Removal(change.key, change.revision))
             else:
                 entry = change.entry
                 self.take_entry(MirroredEntry(entry.key, entry.value, entry.version))
         self.revision = max(self.revision, revision)
-        self.announce()
+        self.notify_waiters()
 
     @property
     def configuration_revision(self) -> int:
-        """The revision of the configuration that is known here, 0 without one."""
+        """Revision of the known configuration; 0 without one."""
         known = self.entries.get(self.configuration_key)
         return known.revision if known else 0
 
     def note_proof(self, revision: int, proven_at: float) -> bool:
-        """Take in that no configuration was newer than `revision` at that time.
+        """Record that no configuration was newer than `revision` at `proven_at`.
 
-        Returns whether that is the newest proof.
+        Returns whether this is the newest freshness proof.
 
         Parameters
         ----------
         proven_at : float
-            Seconds of the monotonic clock of this box.
+            Seconds, on the monotonic clock of this box.
         """
         if revision > self.configuration_revision:
             return False
-        return self.proof.note(proven_at)
+        return self.proof.record(proven_at)
 
     def take_state(self, state: State, asked_at: float | None = None) -> bool:
-        """Take in what another box knows; return whether it was newer.
+        """Apply the state of another box; return whether it was newer.
 
-        A box whose store is just back may tell of entries that lapsed meanwhile.
+        A box that has just reached the store again may report entries that lapsed
+        during the outage.
 
         Parameters
         ----------
         asked_at : float or None
-            When that box was asked. Its proof counts from then: the question arrived
-            at some time after that, and the age is told for its arrival.
+            When the request was sent. The age of the proof is subtracted from it: the
+            sender states the age at the arrival of the request, which is later.
         """
-        self.heard_at = time.monotonic()
-        is_newer = self.take_entries(state)
+        self.peer_state_at = time.monotonic()
+        is_newer = self.apply_entries(state)
         if asked_at is not None and state.proof_age_seconds is not None:
             for entry in state.entries:
                 if entry.key == self.configuration_key:
                     self.take_entry(entry)
             proven_at = asked_at - state.proof_age_seconds
-            # Whoever listens here waits for a proof as for a change, also for one that
-            # came by the second reader.
+            # Boxes that poll this one wait for proofs as well as for changes, also for
+            # proofs that came from the second reader.
             if self.note_proof(state.proof_revision, proven_at):
-                self.announce()
+                self.notify_waiters()
         return is_newer
 
     @property
-    def hears_boxes(self) -> bool:
-        """Whether another box has lately told what it knows."""
-        return time.monotonic() - self.heard_at < HEARSAY_SECONDS
+    def has_recent_peer_state(self) -> bool:
+        """Whether another box has recently sent its state."""
+        return time.monotonic() - self.peer_state_at < PEER_STATE_VALID_SECONDS
 
-    def take_entries(self, state: State) -> bool:
-        """Take in the entries of another box; return whether they were newer."""
+    def apply_entries(self, state: State) -> bool:
+        """Apply the entries of another box; return whether they were newer."""
         if state.steady_seconds > STEADY_SECONDS:
-            self.others_steady_at = time.monotonic()
+            self.peers_steady_at = time.monotonic()
         if state.revision <= self.revision:
             return False
-        if self.lost_since is not None and self.was_away:
-            self.expect_lapses()
+        if self.unavailable_since is not None and self.is_fleet_wide_outage:
+            self.start_lapse_grace()
         if state.is_whole:
             self.replace_all(list(state.entries), state.revision)
             return True
         for entry in state.entries:
             self.take_entry(entry)
         for removal in state.removals:
-            self.take_removal(removal)
+            self.apply_removal(removal)
         if state.keys is not None:
-            self.keep_only(set(state.keys), state.revision)
+            self.remove_other_keys(set(state.keys), state.revision)
         self.revision = state.revision
-        self.announce()
+        self.notify_waiters()
         return True
 
     def take_entry(self, entry: MirroredEntry) -> None:
-        """Hand over an entry, unless a newer state of it is known."""
+        """Store an entry and pass it to its follower, unless a newer one is known."""
         known = self.entries.get(entry.key)
         if known is not None and known.revision >= entry.revision:
             return
@@ -188,13 +195,13 @@
             if entry.key.startswith(prefix):
                 follower.put(entry.key.removeprefix(prefix), entry.value)
 
-    def take_removal(self, removal: Removal) -> None:
-        """Hand over that an entry is gone, unless it came back since."""
+    def apply_removal(self, removal: Removal) -> None:
+        """Remove an entry and notify its follower, unless a newer one is known."""
         known = self.entries.get(removal.key)
         if known is None or known.revision > removal.revision:
             return
         del self.entries[removal.key]
-        if len(self.removals) == KEPT_REMOVALS:
+        if len(self.removals) == MAX_KEPT_REMOVALS:
             self.complete_after = self.removals[0].revision
         self.removals.append(removal)
         for prefix, follower in self.followers.items():
@@ -207,12 +214,12 @@
         takes_keys: bool = True,
         asked_at: float | None = None,
     ) -> State:
-        """Return what is known beyond `after`, or everything.
+        """Return the changes after revision `after`, or the full state.
 
         Parameters
         ----------
         asked_at : float or None
-            When the question arrived here, if not just now.
+            When the request arrived; now by default.
         """
         if asked_at is None:
             asked_at = time.monotonic()
@@ -234,51 +241,51 @@
         removals = tuple(r for r in self.removals if r.revision > after)
         return replace(state, entries=entries, removals=removals)
 
-    def wait_news(self, after: int | None, seconds: float) -> None:
-        """Return once more than `after` is known, or the store is lost or back."""
+    def wait_for_update(self, after: int | None, seconds: float) -> None:
+        """Wait for a revision above `after`, or for the store to fail or recover."""
         if after is None or self.revision > after or seconds <= 0:
             return
         with eventlet.Timeout(seconds, False):
-            self.news.wait()
+            self.updated.wait()
 
-    def announce(self) -> None:
-        """Wake whoever waits for news."""
-        news, self.news = self.news, Event()
-        news.send(None)
+    def notify_waiters(self) -> None:
+        """Wake all callers of `wait_for_update`."""
+        updated, self.updated = self.updated, Event()
+        updated.send(None)
 
-    def note_lost(self, why: str) -> None:
-        """Log once that the store does not answer."""
-        if self.lost_since is None:
-            self.lost_since = time.monotonic()
+    def record_outage(self, why: str) -> None:
+        """Record the start of an outage of the store; log it once."""
+        if self.unavailable_since is None:
+            self.unavailable_since = time.monotonic()
             log.warning("Store lost.", extra={"why": why, "revision": self.revision})
-            self.announce()
+            self.notify_waiters()
 
-    def note_back(self) -> None:
-        """Log once that the store answers again.
+    def record_recovery(self) -> None:
+        """Record the end of an outage of the store; log it once.
 
-        Entries may have lapsed in an outage of the store, not while only this box was
-        cut off from it: then what is gone has left.
+        Leases run out only in an outage that all boxes saw. If only this box was cut
+        off, a missing entry was removed by its owner.
         """
-        if self.lost_since is None:
+        if self.unavailable_since is None:
             return
-        seconds = round(self.lost_seconds, 3)
+        seconds = round(self.unavailable_seconds, 3)
         now = time.monotonic()
-        self.lost_since = None
-        self.back_at = now
+        self.unavailable_since = None
+        self.available_since = now
         log.info(
-            "Store answers.",
-            extra={"after_seconds": seconds, "was_away": self.was_away},
+            "Store available again.",
+            extra={"after_seconds": seconds, "was_away": self.is_fleet_wide_outage},
         )
-        if self.was_away:
-            self.expect_lapses()
-        self.announce()
+        if self.is_fleet_wide_outage:
+            self.start_lapse_grace()
+        self.notify_waiters()
 
     @property
-    def was_away(self) -> bool:
-        """Whether no box has lately told that its store answers."""
-        return time.monotonic() - self.others_steady_at > HEARSAY_SECONDS
+    def is_fleet_wide_outage(self) -> bool:
+        """Whether no other box has recently reported a stable store."""
+        return time.monotonic() - self.peers_steady_at > PEER_STATE_VALID_SECONDS
 
-    def expect_lapses(self) -> None:
-        """Tell the followers that entries may be gone for want of renewals."""
+    def start_lapse_grace(self) -> None:
+        """Tell the followers that entries may have lapsed in the outage."""
         for follower in self.followers.values():
             follower.note_store_back()
--- a/src/cedarchute/fleet/store_reader.py
+++ b/src/cedarchute/fleet/store_reader.py
@@ -1,4 +1,4 @@
-"""Keeps the mirror at what the store says: one listing, then what changes."""
+"""Keeps the store mirror up to date: one full listing, then incremental changes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cedarchute.address import Address
 from cedarchute.fleet.backoff import Backoff
 from cedarchute.fleet.reader_choice import READERS_PER_DOMAIN
-from cedarchute.fleet.state_client import StateClient, StateNotToldError
+from cedarchute.fleet.state_client import StateClient, StateUnavailableError
 from cedarchute.platform.store_client import (
     WATCH_WAIT_SECONDS,
     HistoryGoneError,
@@ -28,26 +28,27 @@
 
 log = logging.getLogger("cedarchute.fleet")
 
-# Renewals ask the store more often than this, and reading begins anew once one is
-# answered; meanwhile other boxes tell what changes.
-LONGEST_RETRY_SECONDS: Final = 3.0
-# After changes, what follows them closely comes with the next answer: each costs
-# money. A quarter of the time in which a configuration has to be in force.
-GATHER_SECONDS: Final = 1.0
-EVERYTHING: Final = ""
-# A box that listens asks one reader after another and waits this long at each: longer
-# than the reader's proofs are apart, so that most questions are answered by one.
-LISTEN_SECONDS: Final = 1.2
-# A watch begun just after one was cut may say nothing until its end, and so may one of
-# a box that lost its readers: it is a short one, and the next a long one.
+# Upper bound of the retry delay. Lease renewals run more often, and a successful one
+# restarts the reader; until then, other boxes supply changes.
+MAX_RETRY_SECONDS: Final = 3.0
+# Delay after a change, so that changes in quick succession arrive in one response:
+# each store call is billed. Well below the time limit for applying a configuration.
+CHANGE_BATCH_SECONDS: Final = 1.0
+ALL_KEYS: Final = ""
+# Long-poll timeout at a reader. Longer than the interval between the reader's freshness
+# proofs, so that most polls return with one.
+LISTEN_WAIT_SECONDS: Final = 1.2
+# Timeout of the first watch after a failure or after the readers were lost: such a
+# watch may hang until its end. The next one uses the full timeout.
 SHORT_WATCH_SECONDS: Final = 0.8
 
 
 class StoreReader:
-    """Reads all at first and when history is gone, and follows what changes then.
+    """Lists the whole store at the start, then follows its changes.
 
-    A few boxes of each large failure domain watch the store; the others listen to
-    them in turn, and watch it themselves while all are silent or have lost it.
+    Lists it again when the change history was compacted. The first reader of each
+    failure domain watches the store; the other boxes poll the readers in rotation, and
+    watch the store themselves while no reader responds or has a connection to it.
     """
 
     def __init__(
@@ -63,32 +64,32 @@
         self.readers = readers
         self.supervisor = supervisor
         self.metrics = metrics
-        self.boxes = StateClient()
+        self.state_client = StateClient()
         self.reachable = True
-        self.turn = 0
-        self.lost_in_a_row = 0
+        self.poll_number = 0
+        self.consecutive_reader_failures = 0
         self.watch_seconds = WATCH_WAIT_SECONDS
-        self.must_list = True
-        self.watching_since: float | None = None
-        self.backoff = Backoff(LONGEST_RETRY_SECONDS)
+        self.needs_listing = True
+        self.watch_started_at: float | None = None
+        self.backoff = Backoff(MAX_RETRY_SECONDS)
         self.task: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Start reading, anew if it was under way."""
+        """Start the reader task; restart it if it is running."""
         if self.task is not None:
             self.task.kill()
         self.task = self.supervisor.start("store", self.run_forever)
 
     def note_reachable(self, reachable: bool) -> None:
-        """Take in whether another call of this box to the store was answered.
+        """Record whether another store call of this box succeeded.
 
-        A watch whose answer was lost stays silent; once the store answers again,
-        it is asked anew.
+        A watch whose response was lost hangs until its timeout, so the reader task is
+        restarted once the store responds again.
         """
         self.reachable = reachable
         if not reachable:
-            self.note_failed("a renewal was not answered")
-        elif self.mirror.lost_since is not None:
+            self.record_failure("a renewal was not answered")
+        elif self.mirror.unavailable_since is not None:
             self.start()
 
     def run_forever(self) -> None:
@@ -97,108 +98,114 @@
             try:
                 self.read_once()
             except HistoryGoneError as error:
-                self.note_history_gone(str(error))
+                self.require_listing(str(error))
             except StoreUnavailableError as error:
-                self.note_failed(str(error))
+                self.record_failure(str(error))
                 eventlet.sleep(self.backoff.next_seconds())
 
-    def note_failed(self, why: str) -> None:
-        """Take in that the store does not answer; a reader may know more."""
-        self.mirror.note_lost(why)
+    def record_failure(self, why: str) -> None:
+        """Record a failed store call; the next watch is a short one."""
+        self.mirror.record_outage(why)
         self.watch_seconds = SHORT_WATCH_SECONDS
 
-    def note_answered(self) -> None:
-        """Take in that the store answers, this box or its reader."""
+    def record_success(self) -> None:
+        """Record that the store responded to this box or to its reader."""
         self.backoff.reset()
-        self.mirror.note_back()
+        self.mirror.record_recovery()
 
     def read_once(self) -> None:
-        """Read all, if need be, or wait once for changes."""
-        if self.must_list:
-            self.list_once()
+        """List the store if needed, otherwise wait once for changes."""
+        if self.needs_listing:
+            self.read_listing()
             return
-        self.turn += 1
-        reader = self.readers.choose(self.turn)
+        self.poll_number += 1
+        reader = self.readers.choose(self.poll_number)
         if reader is None:
             self.watch_once(self.watch_seconds)
             self.watch_seconds = WATCH_WAIT_SECONDS
             return
-        self.listen_once(reader)
-        if self.lost_in_a_row >= READERS_PER_DOMAIN:
+        self.poll_reader(reader)
+        if self.consecutive_reader_failures >= READERS_PER_DOMAIN:
             self.watch_once(SHORT_WATCH_SECONDS)
 
-    def note_overdue(self, known_at: float) -> None:
-        """Take in that the store told of changes otherwise at `known_at`.
+    def restart_silent_watch(self, known_at: float) -> None:
+        """Restart a watch that missed changes which the store reported at `known_at`.
 
-        A watch that was open then has lost its answer, and may say nothing for as long
-        as it was asked to wait.
+        A watch that was open at that time has lost its response and would hang until
+        its timeout.
         """
-        if self.watching_since is not None and self.watching_since < known_at:
+        if self.watch_started_at is not None and self.watch_started_at < known_at:
             self.metrics.count("store.watches_silent")
-            log.info("Watch is silent, watching anew.")
+            log.info("Store watch missed changes; restarting it.")
             self.start()
 
-    def note_history_gone(self, why: str) -> None:
-        """Take in that the store has forgotten changes that this box does not know."""
+    def require_listing(self, why: str) -> None:
+        """Request a full listing: changes this box has not seen were compacted."""
         self.metrics.count("store.history_gone")
-        log.warning("Changes are gone, reading all.", extra={"why": why})
-        self.must_list = True
+        log.warning(
+            "Change history was compacted; listing the whole store.", extra={"why": why}
+        )
+        self.needs_listing = True
 
-    def read_anew(self, why: str) -> None:
-        """Read all at once, whatever is under way."""
-        self.note_history_gone(why)
+    def restart_with_listing(self, why: str) -> None:
+        """Restart the reader task with a full listing."""
+        self.require_listing(why)
         self.start()
 
-    def list_once(self) -> None:
-        """Read all; once more if another box has told of something newer meanwhile.
+    def read_listing(self) -> None:
+        """List the store; repeat if another box has supplied a newer state meanwhile.
 
-        The first listing may be old, at a tenth of the price: what changed since comes
-        with the first watch, or from a reader.
+        The first listing may be stale, which costs less: the first watch or a reader
+        supplies later changes.
         """
-        listing = self.store.list(EVERYTHING, may_be_old=self.mirror.revision == 0)
-        self.note_answered()
-        self.must_list = not self.mirror.take_listing(listing)
-        if self.must_list:
-            eventlet.sleep(GATHER_SECONDS)
-
-    def listen_once(self, reader: BoxEntry) -> None:
-        """Take in what a reader tells; wait for it unless readers were lost."""
-        wait_seconds = 0.0 if self.lost_in_a_row else LISTEN_SECONDS
+        listing = self.store.list(ALL_KEYS, may_be_old=self.mirror.revision == 0)
+        self.record_success()
+        self.needs_listing = not self.mirror.apply_listing(listing)
+        if self.needs_listing:
+            eventlet.sleep(CHANGE_BATCH_SECONDS)
+
+    def poll_reader(self, reader: BoxEntry) -> None:
+        """Apply the state of a reader; long-poll unless the last reader failed."""
+        wait_seconds = 0.0 if self.consecutive_reader_failures else LISTEN_WAIT_SECONDS
         asked_at = time.monotonic()
         address = Address.parse(reader.peers)
         try:
-            state = self.boxes.ask(address, self.mirror.revision, wait_seconds)
-        except StateNotToldError as error:
-            self.note_reader_lost(reader, str(error))
+            state = self.state_client.ask(address, self.mirror.revision, wait_seconds)
+        except StateUnavailableError as error:
+            self.record_reader_failure(reader, str(error))
             return
         self.metrics.count("state.heard")
         if state.steady_seconds <= 0:
             self.mirror.take_state(state, asked_at)
-            self.note_reader_lost(reader, "it lost the store")
+            self.record_reader_failure(reader, "it lost the store")
             return
         if self.reachable:
-            self.note_answered()
+            self.record_success()
         self.mirror.take_state(state, asked_at)
-        self.lost_in_a_row = 0
+        self.consecutive_reader_failures = 0
 
-    def note_reader_lost(self, reader: BoxEntry, why: str) -> None:
-        """Take in that a reader told nothing of the store."""
-        self.lost_in_a_row += 1
+    def record_reader_failure(self, reader: BoxEntry, why: str) -> None:
+        """Record that a reader failed or has no connection to the store."""
+        self.consecutive_reader_failures += 1
         self.metrics.count("state.readers_lost")
         log.info(
-            "Reader lost.",
-            extra={"box": reader.name, "why": why, "in_a_row": self.lost_in_a_row},
+            "Store reader unavailable.",
+            extra={
+                "box": reader.name,
+                "why": why,
+                "in_a_row": self.consecutive_reader_failures,
+            },
         )
 
     def watch_once(self, seconds: float) -> None:
         """Wait once for changes in the store."""
         after = self.mirror.revision
-        self.watching_since = time.monotonic()
+        self.watch_started_at = time.monotonic()
         try:
-            changes, revision = self.store.wait_changes(EVERYTHING, after, seconds)
+            changes, revision = self.store.wait_changes(ALL_KEYS, after, seconds)
         finally:
-            self.watching_since = None
-        self.note_answered()
-        self.mirror.take_changes(changes, revision)
+            self.watch_started_at = None
+        self.record_success()
+        self.mirror.apply_changes(changes, revision)
         if changes:
-            eventlet.sleep(GATHER_SECONDS)
+            eventlet.sleep(CHANGE_BATCH_SECONDS)
--- a/src/cedarchute/fleet/turned_away.py
+++ b/src/cedarchute/fleet/turned_away.py
@@ -1,4 +1,4 @@
-"""Entries of the store that cannot be used, told at a bounded rate."""
+"""Rate-limited log of invalid store entries."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 log = logging.getLogger("cedarchute.fleet")
 
-# Lines in each period. A writer that goes wrong writes some entries, again and again;
-# the first few lines of a minute name it, and the counter tells how often.
+# Log lines per period. A faulty writer repeats its entries, so a few lines identify it;
+# the counter has the total.
 MOST_LINES: Final = 10
 PERIOD_SECONDS: Final = 60.0
-# Of a reason or a key, which other writers choose: one line of a log.
-MOST_TEXT: Final = 200
+# Limit for reasons and keys, which contain text from other writers.
+MAX_TEXT_LENGTH: Final = 200
 
 
 class TurnedAway:
-    """Counts, logs and remembers why an entry was not used.
+    """Counts and logs invalid entries and keeps the latest reason for the metrics.
 
-    Every follower tells of such an entry here, so that there is one counter and one
-    line of the log, whatever part of the store it stands in.
+    Shared by all followers, so that every part of the store has the same counters and
+    log lines.
     """
 
     def __init__(
@@ -33,23 +33,25 @@
     ) -> None:
         self.metrics = metrics
         self.clock = clock
-        self.period_began_at = clock()
+        self.period_started_at = clock()
         self.lines = 0
 
     def note(self, kind: str, key: str, why: str) -> None:
-        """Take in that the entry under `key` is not used.
+        """Record that the entry under `key` is invalid and ignored.
 
         Parameters
         ----------
         kind : str
-            What should stand there: ``target``, ``box``, ``seats``, ``configuration``.
+            Expected content: ``target``, ``box``, ``seats`` or ``configuration``.
         """
-        why = why[:MOST_TEXT]
+        why = why[:MAX_TEXT_LENGTH]
         self.metrics.count(f"store.{kind}_turned_away")
-        self.metrics.note(f"store.{kind}_turned_away", f"{key[:MOST_TEXT]}: {why}")
+        self.metrics.note(
+            f"store.{kind}_turned_away", f"{key[:MAX_TEXT_LENGTH]}: {why}"
+        )
         now = self.clock()
-        if now - self.period_began_at >= PERIOD_SECONDS:
-            self.period_began_at = now
+        if now - self.period_started_at >= PERIOD_SECONDS:
+            self.period_started_at = now
             self.lines = 0
         self.lines += 1
         if self.lines <= MOST_LINES:
@@ -57,7 +59,7 @@
                 "Entry not used.",
                 extra={
                     "kind": kind,
-                    "entry": key[:MOST_TEXT],
+                    "entry": key[:MAX_TEXT_LENGTH],
                     "why": why,
                     "more_lines_left": MOST_LINES - self.lines,
                 },
--- a/tests/fleet/test_lapsing_entries.py
+++ b/tests/fleet/test_lapsing_entries.py
@@ -53,6 +53,6 @@
 
 def test_an_entry_that_goes_later_than_the_return_has_left(known, gone, clock):
     known.note_store_back()
-    clock.now += lapsing_entries.LAPSE_SEEN_SECONDS + 0.1
+    clock.now += lapsing_entries.LAPSE_DETECTION_SECONDS + 0.1
     assert known.remove("a")
     assert gone == ["entry-a"]
--- a/tests/fleet/test_metrics_app.py
+++ b/tests/fleet/test_metrics_app.py
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def get():
-    """Return a function that asks for a path and returns status and text."""
+    """Return a function that requests a path and returns status and text."""
     metrics = Metrics()
     metrics.count("calls.answered")
     app = MetricsApp(metrics)
--- a/tests/fleet/test_reader_choice.py
+++ b/tests/fleet/test_reader_choice.py
@@ -27,7 +27,9 @@
     assert len(readers) == READERS_PER_DOMAIN
     for me in BOXES:
         choice = make_choice(me, *reversed(BOXES))
-        chosen = [choice.choose(turn) for turn in range(READERS_PER_DOMAIN)]
+        chosen = [
+            choice.choose(poll_number) for poll_number in range(READERS_PER_DOMAIN)
+        ]
         if me.name == "entry-0":
             assert set(chosen) == {None}
         elif me.name in readers:
@@ -54,7 +56,9 @@
         choice = make_choice(me, *BOXES[:entries])
         ranks.setdefault(choice.find_rank(), []).append(me.name)
         reads = me.name == "entry-0"
-        assert [choice.choose(turn) is None for turn in range(4)] == [reads] * 4
+        assert [choice.choose(poll_number) is None for poll_number in range(4)] == [
+            reads
+        ] * 4
     assert ranks[ReaderRank.FIRST] == ["entry-0"]
     assert ranks.get(ReaderRank.SECOND, []) == ["entry-1"] * (entries > 1)
     assert holder.name in ranks[ReaderRank.LISTENER]
--- a/tests/fleet/test_registration.py
+++ b/tests/fleet/test_registration.py
@@ -1,4 +1,4 @@
-"""How often a box calls a store that does not answer."""
+"""Backoff of the registration while the store is unavailable."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Store:
-    """Answers what `answers` says, one renewal after the other."""
+    """Fake store whose renewals succeed or fail in the order of `answers`."""
 
     def __init__(self, answers):
         self.answers = list(answers)
@@ -33,19 +33,21 @@
 
 
 class StopTestError(Exception):
-    """Every answer was given."""
+    """Raised when all answers are used up."""
 
 
 @pytest.fixture
 def run(monkeypatch):
-    """Return a function that plays answers and returns the waits between calls."""
+    """Return a function that runs a registration and returns its delays."""
 
     def play(answers):
         waits = []
         monkeypatch.setattr(registration.eventlet, "sleep", waits.append)
-        keeper = Registration(Store(answers), ENTRY, lambda reachable: None, Metrics())
+        box_registration = Registration(
+            Store(answers), ENTRY, lambda reachable: None, Metrics()
+        )
         with pytest.raises(StopTestError):
-            keeper.run_forever()
+            box_registration.run_forever()
         return waits
 
     return play
--- a/tests/fleet/test_state_puller.py
+++ b/tests/fleet/test_state_puller.py
@@ -1,4 +1,4 @@
-"""Which boxes are asked while the store does not answer."""
+"""Choice of the boxes to pull from while the store is unavailable."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def test_every_second_question_goes_to_a_reader_of_the_own_domain():
     entries = [make_entry(n, "a" if n < 4 else "b") for n in range(8)]
     puller = make_puller(entries, entries[3])
-    asked = [str(puller.choose_box()) for _ in range(40)]
+    asked = [str(puller.choose_peer()) for _ in range(40)]
     readers = {entry.peers for entry in entries[:2]}
     assert set(asked[::2]) == readers
     assert len(set(asked[1::2])) > 3
@@ -42,4 +42,4 @@
 
 def test_a_box_that_knows_no_other_asks_a_seed():
     me = make_entry(0, "a")
-    assert str(make_puller([], me).choose_box()) == "10.0.0.9:1"
+    assert str(make_puller([], me).choose_peer()) == "10.0.0.9:1"
--- a/tests/fleet/test_store_mirror.py
+++ b/tests/fleet/test_store_mirror.py
@@ -9,7 +9,7 @@
 
 from cedarchute.fleet import store_mirror
 from cedarchute.fleet.state_messages import MirroredEntry
-from cedarchute.fleet.store_mirror import KEPT_REMOVALS, StoreMirror
+from cedarchute.fleet.store_mirror import MAX_KEPT_REMOVALS, StoreMirror
 from cedarchute.platform.store_entry import StoreChange, StoreEntry, StoreListing
 
 
@@ -30,29 +30,29 @@
 def test_a_listing_brings_what_is_there_and_takes_what_is_not():
     mirror, follower = make_mirror()
     listing = StoreListing((entry("a/1", "x", 3), entry("b/1", "z", 4)), 5)
-    mirror.take_listing(listing)
+    mirror.apply_listing(listing)
     assert follower.entries == {"1": "x"}
-    mirror.take_listing(StoreListing((entry("a/2", "y", 7),), 8))
+    mirror.apply_listing(StoreListing((entry("a/2", "y", 7),), 8))
     assert follower.entries == {"2": "y"}
     assert mirror.revision == 8
 
 
 def test_changes_that_come_again_change_nothing():
     mirror, follower = make_mirror()
-    mirror.take_changes([change("a/1", "new", 9), change("a/1", "old", 6)], 9)
+    mirror.apply_changes([change("a/1", "new", 9), change("a/1", "old", 6)], 9)
     assert follower.entries == {"1": "new"}
-    mirror.take_changes([change("a/1", None, 7)], 9)
+    mirror.apply_changes([change("a/1", None, 7)], 9)
     assert follower.entries == {"1": "new"}
-    mirror.take_changes([change("a/1", None, 10)], 10)
+    mirror.apply_changes([change("a/1", None, 10)], 10)
     assert follower.entries == {}
 
 
 def test_what_another_box_knows_is_taken_only_if_it_is_newer():
     ahead, _ = make_mirror()
-    ahead.take_listing(StoreListing((entry("a/1", "x", 3),), 4))
-    ahead.take_changes([change("a/2", "y", 6), change("a/1", None, 7)], 7)
+    ahead.apply_listing(StoreListing((entry("a/1", "x", 3),), 4))
+    ahead.apply_changes([change("a/2", "y", 6), change("a/1", None, 7)], 7)
     behind, follower = make_mirror()
-    behind.take_listing(StoreListing((entry("a/1", "x", 3),), 4))
+    behind.apply_listing(StoreListing((entry("a/1", "x", 3),), 4))
     state = ahead.tell(behind.revision)
     assert not state.is_whole
     assert behind.take_state(state)
@@ -63,7 +63,7 @@
 
 def test_a_box_that_knows_nothing_is_told_everything():
     ahead, _ = make_mirror()
-    ahead.take_listing(StoreListing((entry("a/1", "x", 3),), 4))
+    ahead.apply_listing(StoreListing((entry("a/1", "x", 3),), 4))
     new, follower = make_mirror()
     assert new.take_state(ahead.tell(None))
     assert follower.entries == {"1": "x"}
@@ -72,46 +72,46 @@
 def test_a_box_that_listed_a_moment_earlier_is_told_what_changed_and_no_more():
     common = tuple(entry(f"a/{n}", "x", 1) for n in range(5))
     behind, follower = make_mirror()
-    behind.take_listing(StoreListing((*common, entry("a/gone", "x", 2)), 2))
+    behind.apply_listing(StoreListing((*common, entry("a/gone", "x", 2)), 2))
     ahead, _ = make_mirror()
-    ahead.take_listing(StoreListing((*common, entry("a/new", "y", 4)), 4))
+    ahead.apply_listing(StoreListing((*common, entry("a/new", "y", 4)), 4))
     state = ahead.tell(behind.revision)
     assert [told.key for told in state.entries] == ["a/new"]
     assert behind.take_state(state)
     assert follower.entries == {**{str(n): "x" for n in range(5)}, "new": "y"}
     assert behind.tell(None).entries == ahead.tell(None).entries
     third, third_follower = make_mirror()
-    third.take_listing(StoreListing((*common, entry("a/gone", "x", 2)), 2))
+    third.apply_listing(StoreListing((*common, entry("a/gone", "x", 2)), 2))
     third.take_state(behind.tell(2))
     assert third_follower.entries == follower.entries
 
 
 def test_removals_beyond_what_is_kept_are_told_by_the_keys_that_are_left():
     ahead, _ = make_mirror()
-    count = KEPT_REMOVALS + 5
+    count = MAX_KEPT_REMOVALS + 5
     entries = tuple(entry(f"a/{n}", "x", 1) for n in range(count))
-    ahead.take_listing(StoreListing(entries, 1))
+    ahead.apply_listing(StoreListing(entries, 1))
     for number in range(count):
         version = number + 2
-        ahead.take_changes([change(f"a/{number}", None, version)], version)
+        ahead.apply_changes([change(f"a/{number}", None, version)], version)
     assert ahead.tell(1).keys == ()
     assert ahead.tell(1).entries == ()
     assert ahead.tell(1, takes_keys=False).is_whole
     assert ahead.tell(ahead.revision - 1).keys is None
     behind, follower = make_mirror()
-    behind.take_listing(StoreListing(entries, 1))
+    behind.apply_listing(StoreListing(entries, 1))
     behind.take_state(ahead.tell(1))
     assert follower.entries == {}
 
 
 def test_followers_hear_once_that_the_store_is_back():
     mirror, follower = make_mirror()
-    mirror.note_back()
-    mirror.note_back()
+    mirror.record_recovery()
+    mirror.record_recovery()
     assert follower.back == 1
-    mirror.note_lost("silent")
-    mirror.note_lost("silent")
-    mirror.note_back()
+    mirror.record_outage("silent")
+    mirror.record_outage("silent")
+    mirror.record_recovery()
     assert follower.back == 2
     assert mirror.tell(None).entries == ()
 
@@ -128,48 +128,48 @@
     clock, others_lost_too, backs
 ):
     other, _ = make_mirror()
-    other.note_back()
+    other.record_recovery()
     mine, follower = make_mirror()
-    mine.note_back()
+    mine.record_recovery()
     clock.now += 60
-    mine.note_lost("silent")
+    mine.record_outage("silent")
     if others_lost_too:
-        other.note_lost("silent")
+        other.record_outage("silent")
     clock.now += 5
     mine.take_state(other.tell(0))
     clock.now += 0.5
-    mine.note_back()
+    mine.record_recovery()
     assert follower.back == backs
 
 
 def test_a_box_that_is_back_a_moment_earlier_proves_nothing(clock):
     other, _ = make_mirror()
     mine, follower = make_mirror()
-    other.note_back()
+    other.record_recovery()
     clock.now += 1
     mine.take_state(other.tell(0))
-    mine.note_back()
+    mine.record_recovery()
     assert follower.back == 1
 
 
 def test_whoever_waits_for_news_hears_it_at_once():
     mirror, _ = make_mirror()
-    mirror.take_listing(StoreListing((), 4))
+    mirror.apply_listing(StoreListing((), 4))
     heard = []
 
     def wait(after):
-        mirror.wait_news(after, 60.0)
+        mirror.wait_for_update(after, 60.0)
         heard.append(after)
 
     waiting = [eventlet.spawn(wait, after) for after in (3, 4)]
     eventlet.sleep(0)
     assert heard == [3]
-    mirror.take_changes([change("a/1", "x", 5)], 5)
+    mirror.apply_changes([change("a/1", "x", 5)], 5)
     waiting[1].wait()
     lost = eventlet.spawn(wait, 5)
     eventlet.sleep(0)
-    mirror.note_back()
-    mirror.note_lost("silent")
+    mirror.record_recovery()
+    mirror.record_outage("silent")
     lost.wait()
     assert heard == [3, 4, 5]
 
@@ -177,15 +177,15 @@
 def test_a_listing_older_than_what_is_known_brings_nothing_back():
     mirror, follower = make_mirror()
     ahead, _ = make_mirror()
-    ahead.take_listing(StoreListing((entry("a/2", "y", 6),), 9))
+    ahead.apply_listing(StoreListing((entry("a/2", "y", 6),), 9))
     assert mirror.take_state(ahead.tell(None))
-    assert not mirror.take_listing(StoreListing((entry("a/gone", "x", 3),), 5))
+    assert not mirror.apply_listing(StoreListing((entry("a/gone", "x", 3),), 5))
     assert follower.entries == {"2": "y"}
 
 
 def test_a_proof_of_a_newer_configuration_proves_nothing_here():
     mirror = StoreMirror({}, "a/config")
-    mirror.take_changes([change("a/config", "x", 3)], 3)
+    mirror.apply_changes([change("a/config", "x", 3)], 3)
     mirror.note_proof(4, 100.0)
     assert mirror.proof.age_seconds == float("inf")
     mirror.note_proof(3, 100.0)
@@ -194,7 +194,7 @@
 
 def test_a_proof_is_told_with_its_age_and_counts_from_the_question():
     ahead = StoreMirror({}, "a/config")
-    ahead.take_changes([change("a/config", "x", 3)], 3)
+    ahead.apply_changes([change("a/config", "x", 3)], 3)
     ahead.note_proof(3, time.monotonic() - 2.0)
     behind = StoreMirror({}, "a/config")
     asked_at = time.monotonic() - 1.0
@@ -207,7 +207,7 @@
     ahead = StoreMirror({}, "a/config")
     behind = StoreMirror({"a/": follower}, "a/config")
     for mirror in (ahead, behind):
-        mirror.take_changes([change("a/config", "x", 3)], 5)
+        mirror.apply_changes([change("a/config", "x", 3)], 5)
     ahead.take_entry(MirroredEntry("a/config", "y", 7))
     ahead.note_proof(7, time.monotonic())
     behind.take_state(ahead.tell(behind.revision), time.monotonic())
--- a/tests/fleet/test_store_reader.py
+++ b/tests/fleet/test_store_reader.py
@@ -1,4 +1,4 @@
-"""Who watches the store, and what a box does that lost its reader."""
+"""Choice between polling readers and watching the store, with and without faults."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from cedarchute.fleet import store_reader
 from cedarchute.fleet.box_entry import BoxEntry, Role
 from cedarchute.fleet.reader_choice import READERS_PER_DOMAIN
-from cedarchute.fleet.state_client import StateNotToldError
+from cedarchute.fleet.state_client import StateUnavailableError
 from cedarchute.fleet.state_messages import MirroredEntry, State
 from cedarchute.fleet.store_mirror import StoreMirror
 from cedarchute.fleet.store_reader import SHORT_WATCH_SECONDS, StoreReader
@@ -24,7 +24,7 @@
 
 
 class Store:
-    """Counts calls; says what it is told to."""
+    """Fake store that records watches and listings."""
 
     def __init__(self):
         self.watches = []
@@ -46,7 +46,7 @@
 
 
 class Boxes:
-    """Stands in for other boxes: the state that each tells, or silence."""
+    """Fake state client: returns the state set for a port, or fails."""
 
     def __init__(self):
         self.states = {}
@@ -56,7 +56,7 @@
         self.asked.append((address.port, wait_seconds))
         state = self.states.get(address.port)
         if state is None:
-            raise StateNotToldError("silent")
+            raise StateUnavailableError("silent")
         return state
 
     def tell_all(self, state):
@@ -66,8 +66,8 @@
 class Readers:
     boxes = READERS
 
-    def choose(self, turn):
-        return self.boxes[turn % len(self.boxes)] if self.boxes else None
+    def choose(self, poll_number):
+        return self.boxes[poll_number % len(self.boxes)] if self.boxes else None
 
 
 @pytest.fixture
@@ -77,7 +77,7 @@
     mirror = StoreMirror({"k/": follower})
     metrics = Metrics()
     reader = StoreReader(Store(), mirror, Readers(), Supervisor(metrics), metrics)
-    reader.boxes = Boxes()
+    reader.state_client = Boxes()
     reader.follower = follower
     reader.read_once()
     return reader
@@ -89,7 +89,7 @@
 
 
 def test_a_box_with_readers_makes_no_call_to_the_store(reader):
-    reader.boxes.tell_all(tell(7, "told"))
+    reader.state_client.tell_all(tell(7, "told"))
     for _ in range(4):
         reader.read_once()
     assert reader.follower.entries == {"1": "told"}
@@ -98,14 +98,14 @@
 
 
 def test_what_one_reader_does_not_hear_of_the_next_tells(reader):
-    reader.boxes.states = {1: tell(4, "listed"), 2: tell(9, "new")}
+    reader.state_client.states = {1: tell(4, "listed"), 2: tell(9, "new")}
     for _ in READERS:
         reader.read_once()
     assert reader.follower.entries == {"1": "new"}
 
 
 def test_only_the_first_listing_may_be_old(reader):
-    reader.must_list = True
+    reader.needs_listing = True
     reader.read_once()
     assert reader.store.listings == [True, False]
 
@@ -114,13 +114,13 @@
     reader.readers.boxes = []
     reader.read_once()
     assert reader.follower.entries == {"1": "watched"}
-    assert reader.boxes.asked == []
+    assert reader.state_client.asked == []
     assert reader.store.watches == [WATCH_WAIT_SECONDS]
 
 
 @pytest.mark.parametrize("state", [None, tell(3, "old", steady_seconds=0.0)])
 def test_a_box_that_lost_all_its_readers_watches_the_store_shortly(reader, state):
-    reader.boxes.tell_all(state)
+    reader.state_client.tell_all(state)
     reader.read_once()
     assert reader.store.watches == []
     reader.read_once()
@@ -128,10 +128,10 @@
     assert reader.store.watches == [SHORT_WATCH_SECONDS]
     reader.read_once()
     assert reader.store.watches == [SHORT_WATCH_SECONDS] * 2
-    waits = [wait_seconds for _, wait_seconds in reader.boxes.asked]
+    waits = [wait_seconds for _, wait_seconds in reader.state_client.asked]
     assert waits[0] > 0
     assert waits[1:] == [0.0] * len(waits[1:])
-    reader.boxes.tell_all(tell(9, "told"))
+    reader.state_client.tell_all(tell(9, "told"))
     reader.read_once()
     assert reader.follower.entries == {"1": "told"}
     reader.read_once()
@@ -139,14 +139,14 @@
 
 
 def test_what_a_reader_that_lost_the_store_knows_is_taken_all_the_same(reader):
-    reader.boxes.tell_all(tell(7, "told", steady_seconds=0.0))
+    reader.state_client.tell_all(tell(7, "told", steady_seconds=0.0))
     reader.read_once()
     assert reader.follower.entries == {"1": "told"}
 
 
 def test_the_first_watch_after_a_failure_is_short(reader):
     reader.readers.boxes = []
-    reader.note_failed("cut")
+    reader.record_failure("cut")
     reader.read_once()
     reader.read_once()
     assert reader.store.watches == [SHORT_WATCH_SECONDS, WATCH_WAIT_SECONDS]
@@ -163,31 +163,31 @@
 
 
 def test_entries_that_lapsed_with_the_store_are_expected_back_by_listeners(reader):
-    reader.mirror.note_lost("down")
+    reader.mirror.record_outage("down")
     backs = reader.follower.back
-    reader.boxes.tell_all(tell(7, "told", steady_seconds=0.1))
+    reader.state_client.tell_all(tell(7, "told", steady_seconds=0.1))
     reader.read_once()
     assert reader.follower.back == backs + 1
-    assert reader.mirror.lost_since is None
+    assert reader.mirror.unavailable_since is None
 
 
 def test_a_box_cut_off_itself_does_not_take_its_readers_word_for_its_own_way(reader):
     reader.note_reachable(False)
     backs = reader.follower.back
-    reader.boxes.tell_all(tell(7, "told", steady_seconds=0.1))
+    reader.state_client.tell_all(tell(7, "told", steady_seconds=0.1))
     reader.read_once()
     assert reader.follower.entries == {"1": "told"}
     assert reader.follower.back == backs + 1
-    assert reader.mirror.lost_since is not None
+    assert reader.mirror.unavailable_since is not None
 
 
 def test_a_listing_older_than_what_a_box_told_meanwhile_is_read_anew(reader):
-    reader.boxes.tell_all(tell(7, "told"))
+    reader.state_client.tell_all(tell(7, "told"))
     reader.read_once()
-    reader.must_list = True
+    reader.needs_listing = True
     reader.read_once()
-    assert reader.must_list
+    assert reader.needs_listing
     assert reader.follower.entries == {"1": "told"}
     reader.store.revision = 7
     reader.read_once()
-    assert not reader.must_list
+    assert not reader.needs_listing
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Entry boxes and a store in virtual time, joined by links that can go silent."""
+"""Entry boxes and a store in virtual time, connected by links that can fail."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from standins.key_value_store import Store
 
 STORE = "10.0.0.1:1"
-# One way between any two machines.
-WAY_SECONDS = 0.002
+# One-way network latency between any two machines.
+LATENCY_SECONDS = 0.002
 SETTINGS = """
 [box]
 role = entry
@@ -43,8 +43,8 @@
 """
 
 
-class Arrivals:
-    """A follower that notes when each value came; values are whole numbers."""
+class ArrivalRecorder:
+    """Follower that records the arrival time of each value, an integer."""
 
     def __init__(self):
         self.times = {}
@@ -60,7 +60,7 @@
 
 
 class Box:
-    """The parts of a real entry box that follow the store."""
+    """Entry box reduced to the components that follow the store."""
 
     def __init__(self, name, domain, ip):
         text = SETTINGS.format(name=name, domain=domain, ip=ip)
@@ -70,7 +70,7 @@
         self.name = name
         self.domain = domain
         self.address = f"{ip}:2"
-        self.arrivals = Arrivals()
+        self.arrivals = ArrivalRecorder()
         self.parts = NodeParts(
             settings,
             me,
@@ -84,42 +84,42 @@
 
 
 class Link:
-    """Stands in for the connections of one client; its answers may be lost."""
+    """Fake connection pool of one client; responses may be lost."""
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.owner = fleet.building
+        self.owner = fleet.current_owner
 
     def request(self, method, address, path, *, body=None, headers=None, timeout):
-        until = time.monotonic() + timeout.read_timeout
-        eventlet.sleep(WAY_SECONDS)
-        silences = self.fleet.count_silences(self.owner)
+        deadline = time.monotonic() + timeout.read_timeout
+        eventlet.sleep(LATENCY_SECONDS)
+        drops = self.fleet.count_drops(self.owner)
         answer = None
         if not self.fleet.is_cut(self.owner, str(address)):
-            with eventlet.Timeout(until - time.monotonic(), False):
+            with eventlet.Timeout(deadline - time.monotonic(), False):
                 answer = self.fleet.serve(self.owner, method, str(address), path, body)
-                eventlet.sleep(WAY_SECONDS)
+                eventlet.sleep(LATENCY_SECONDS)
         if (
             answer is None
             or self.fleet.is_cut(self.owner, str(address))
-            or silences != self.fleet.count_silences(self.owner)
+            or drops != self.fleet.count_drops(self.owner)
         ):
-            eventlet.sleep(max(0.0, until - time.monotonic()))
+            eventlet.sleep(max(0.0, deadline - time.monotonic()))
             raise urllib3.exceptions.TimeoutError("silent")
         return answer
 
 
 class VirtualFleet:
-    """Boxes of some failure domains, started together."""
+    """Boxes of several failure domains that start together."""
 
     def __init__(self, patch, domains):
         for module in (store_client, state_client):
             patch.setattr(module, "HostPools", lambda *_, **__: Link(self))
         self.store = Store()
-        self.building = ""
+        self.current_owner = ""
         self.cuts = set()
-        self.turned_away = set()
-        self.silences = {}
+        self.rejected = set()
+        self.drops = {}
         self.version = 0
         self.boxes = {}
         for domain, count in domains.items():
@@ -129,7 +129,7 @@
 
     def add(self, name, domain):
         number = len(self.boxes)
-        self.building = name
+        self.current_owner = name
         ip = f"10.1.{number // 250}.{number % 250 + 1}"
         self.boxes[name] = Box(name, domain, ip)
 
@@ -138,27 +138,27 @@
             box.parts.start()
 
     def change(self, key=CONFIGURATION):
-        """Put the next value in the store; return it."""
+        """Write the next value to the store; return it."""
         self.version += 1
         body = {"key": key, "value": json.dumps(self.version)}
         self.ask_store("POST", "/operator", json.dumps(body).encode())
         return self.version
 
     def cut(self, name, address=STORE):
-        """Let a box and another address hear nothing of each other."""
+        """Drop all traffic between a box and an address."""
         self.cuts.add((name, address))
 
-    def silence(self, name):
-        """Lose the answers to what a box has asked; what it asks anew works."""
-        self.silences[name] = self.count_silences(name) + 1
+    def drop_pending(self, name):
+        """Drop the responses to pending requests of a box; later requests work."""
+        self.drops[name] = self.count_drops(name) + 1
 
-    def turn_away(self, name):
-        """Let the store refuse a box, and its open watch say nothing."""
-        self.silence(name)
-        self.turned_away.add(name)
+    def reject(self, name):
+        """Let the store reject a box; its open watch hangs."""
+        self.drop_pending(name)
+        self.rejected.add(name)
 
-    def stop_power(self, name):
-        """Let a box say nothing to anybody any more."""
+    def isolate(self, name):
+        """Drop all traffic of a box."""
         self.cut(name)
         for box in self.boxes.values():
             self.cut(name, box.address)
@@ -167,13 +167,13 @@
     def is_cut(self, owner, address):
         return (owner, address) in self.cuts
 
-    def count_silences(self, owner):
-        return self.silences.get(owner, 0)
+    def count_drops(self, owner):
+        return self.drops.get(owner, 0)
 
     def serve(self, owner, method, address, path, body):
         if address != STORE:
             return self.ask_box(self.by_address[address], body)
-        if owner in self.turned_away:
+        if owner in self.rejected:
             return SimpleNamespace(status=503, data=b"")
         return self.ask_store(method, path, body)
 
@@ -185,8 +185,8 @@
         environ = {"PATH_INFO": "/fleet/state", "wsgi.input": io.BytesIO(body)}
         return call_app(box.server, environ)
 
-    def find_ignorant(self, value):
-        """Return the boxes that a value has not come to."""
+    def find_uninformed(self, value):
+        """Return the names of boxes that have not received a value."""
         boxes = self.boxes.values()
         return {box.name for box in boxes if value not in box.arrivals.times}
 
@@ -200,7 +200,7 @@
 
 @contextmanager
 def count_calls(fleet):
-    """Yield a mapping that holds the calls to the store once the block is over."""
+    """Yield a mapping that is filled with the store calls made in the block."""
     before = dict(fleet.store.calls)
     counted = {}
     yield counted
--- a/tests/fleet/virtual_hub.py
+++ b/tests/fleet/virtual_hub.py
@@ -1,4 +1,4 @@
-"""Runs real tasks in time that passes only while all of them wait."""
+"""Runs green threads in virtual time, which advances only while all of them wait."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class VirtualHub(BaseHub):
-    """A hub without sockets; waiting for a timer sets the clock to its time."""
+    """Hub without sockets; waiting for a timer advances the clock to it."""
 
     @staticmethod
     def is_available():
@@ -33,7 +33,7 @@
 
 
 def run_in_virtual_time(patch: pytest.MonkeyPatch, task: Callable[[], None]) -> None:
-    """Run `task`, and what it starts, in a thread with a hub of its own."""
+    """Run `task` and the green threads it starts, in a thread with its own hub."""
     failures = []
 
     def run():
