--- a/src/cedarchute/platform/__init__.py
+++ b/src/cedarchute/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform gives: its key-value service and its list of boxes."""
+"""Clients and wire formats of the platform's key-value store and box list."""
--- a/src/cedarchute/platform/box_list.py
+++ b/src/cedarchute/platform/box_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of boxes that are live or leaving; it lags."""
+"""Polls the platform's list of live and draining boxes, which may be stale."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ListedBox(BaseModel):
-    """One line of the list: a box of ours or a target."""
+    """One entry of the list: a box or a target."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -33,7 +33,7 @@
 
 
 class BoxListing(BaseModel):
-    """The whole list."""
+    """The response to a request for the list."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -41,7 +41,7 @@
 
 
 class BoxListWatcher:
-    """Takes in who is leaving; being absent from the list proves nothing."""
+    """Records which boxes are draining; absence from the list is ignored."""
 
     def __init__(
         self,
@@ -61,13 +61,13 @@
         self.pool = urllib3.PoolManager(retries=False)
 
     def watch_forever(self) -> None:
-        """Read the list in each period."""
+        """Read the list every `PERIOD_SECONDS`."""
         while True:
             self.read_once()
             eventlet.sleep(PERIOD_SECONDS)
 
     def read_once(self) -> None:
-        """Read the list once; a list that cannot be read changes nothing."""
+        """Read the list once; on failure, keep the previous state."""
         try:
             response = self.pool.request(
                 "GET", f"http://{self.address}/boxes", timeout=TIMEOUT_SECONDS
--- a/src/cedarchute/platform/directory_app.py
+++ b/src/cedarchute/platform/directory_app.py
@@ -1,4 +1,4 @@
-"""Answers callers that ask where to connect, and the platform's readiness checks."""
+"""WSGI application for caller address lookups and readiness checks."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
     from cedarchute.fleet.box_directory import BoxDirectory
 
-# Callers keep an answer this long, some three times as long: a box that stops has
-# to serve for that time. Shorter answers cost more questions.
+# How long callers may cache a response. Some exceed it, by up to three times; a box
+# that stops must keep serving for that time. A shorter TTL causes more lookups.
 KEEP_SECONDS: Final = 1
 
 
 class DirectoryApp:
-    """A WSGI application for both, so that one listener each is enough.
+    """Serves both on one listener.
 
     Parameters
     ----------
     find_unfit : callable
-        Returns an address that is not to be named now, empty if there is none.
+        Returns an address to leave out of responses, or an empty string.
     """
 
     def __init__(
@@ -60,11 +60,11 @@
         return [body]
 
     def answer_ready(self) -> tuple[str, bytes]:
-        """Say whether this box takes callers."""
+        """Return the readiness of this box to accept callers."""
         return ("200 OK" if self.is_ready() else "503 Service Unavailable"), b""
 
     def answer_resolve(self, query: str) -> tuple[str, bytes]:
-        """Say which boxes a caller should use."""
+        """Return the addresses of the boxes that a caller should use."""
         values = parse_qs(query)
         domain = values.get("Zone", [self.failure_domain])[0]
         region = values.get("Region", [self.region])[0]
--- a/src/cedarchute/platform/followers.py
+++ b/src/cedarchute/platform/followers.py
@@ -1,4 +1,4 @@
-"""Takes what the platform says in its store into the books of this box."""
+"""Applies changes in the platform's store to this box's tables."""
 
 from __future__ import annotations
 
@@ -21,37 +21,36 @@
 
 
 class ConfigurationFollower:
-    """Puts the operators' configuration in force."""
+    """Applies the operators' configuration to the active route table."""
 
     def __init__(self, book: ActiveRouteTable, turned_away: TurnedAway) -> None:
         self.book = book
         self.turned_away = turned_away
 
     def put(self, key: str, value: str) -> None:
-        """Take in a configuration."""
+        """Apply a configuration read from the store."""
         self.offer(value, "store")
 
     def offer(self, text: str, source: str) -> None:
-        """Take in a configuration from anywhere; one that is not valid is left."""
+        """Apply a configuration from any source; an invalid one is rejected."""
         try:
             self.book.update_if_newer(read_route_table(text), source)
         except DocumentError as error:
             self.turned_away.note("configuration", CONFIGURATION, str(error))
 
     def remove(self, key: str) -> None:
-        """Keep what is in force."""
+        """Keep the active configuration."""
         log.warning("Configuration removed from the store; the last one stays.")
 
     def note_store_back(self) -> None:
-        """Nothing of it lapses."""
+        """Do nothing: the configuration does not expire."""
 
 
 class TargetFollower:
-    """Keeps the registry of targets.
+    """Applies changes of target entries to the target registry.
 
-    An entry that cannot be read names no target to use: a target that was known under
-    its key gets nothing new until a readable one takes its place, and calls under way
-    at it go on.
+    When an entry is invalid, the target known under its key receives no new calls
+    until a valid entry replaces it; calls in progress continue.
     """
 
     def __init__(self, registry: TargetRegistry, turned_away: TurnedAway) -> None:
@@ -59,7 +58,7 @@
         self.turned_away = turned_away
 
     def put(self, key: str, value: str) -> None:
-        """Take in a target."""
+        """Add or update a target."""
         try:
             self.registry.put(read_target(key, value))
         except DocumentError as error:
@@ -67,9 +66,9 @@
             self.registry.mark_not_ready(key)
 
     def remove(self, key: str) -> None:
-        """Take in that a target's entry is gone."""
+        """Remove a target whose entry was deleted."""
         self.registry.remove(key)
 
     def note_store_back(self) -> None:
-        """Give targets time to come back."""
+        """Give targets time to register again."""
         self.registry.known.note_store_back()
--- a/src/cedarchute/platform/headers.py
+++ b/src/cedarchute/platform/headers.py
@@ -1,33 +1,33 @@
-"""The platform's headers, by what they hold."""
+"""Names of the platform's request and response headers."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# One try of a caller. Targets send it back, which tells whose answer it is.
+# Identifies one attempt of a caller. Targets echo it in their response.
 CALL_ID: Final = b"attempt-id"
-# Milliseconds that the caller still waits, not a point in time.
+# Remaining caller timeout in milliseconds, not a point in time.
 PATIENCE_MS: Final = b"deadline-ms"
-# The start of a target that alone may run the request.
+# The target incarnation that may run the request; any other must reject it.
 EXPECTED_TARGET: Final = b"expect-instance"
-# Set by a target that turned a request away unread.
+# Set by a target that rejected a request without running it.
 NOT_RUN: Final = b"not-executed"
 RETRY_AFTER: Final = b"retry-after"
 PROGRAM: Final = b"program-id"
-# Milliseconds until the whole program should be over; it is late after that, not lost.
+# Soft deadline of the whole program in milliseconds; not enforced.
 PROGRAM_AIM_MS: Final = b"program-deadline-ms"
 BUDGET: Final = b"token-budget"
 PREVIOUS_TURN: Final = b"previous-turn"
-# Two numbers: tokens of the prompt, and the most tokens that come out.
+# Two numbers: prompt tokens and maximum output tokens.
 TOKENS: Final = b"token-count"
-# A caller's key, behind a word for the scheme; a secret.
+# Authentication scheme and the caller's secret key.
 CALLER_KEY: Final = b"authorization"
-# The workspace that holds the caller's key; targets go by it.
+# The workspace that owns the caller's key, as passed to targets.
 WORKSPACE: Final = b"tenant"
-# Proof of a target that the answer is its own; never on an answer of ours.
+# A target's proof that it produced the response; boxes never set it.
 PROOF: Final = b"server-seal"
 
-# Only the system may set these towards a target: a caller's are not passed on.
+# Set only by boxes on requests to targets; dropped from callers' requests.
 SYSTEM_ONLY: Final = frozenset(
     (
         EXPECTED_TARGET,
@@ -40,7 +40,7 @@
         b"kv-fetch",
     )
 )
-# Set anew for each send.
+# Replaced on each attempt.
 REWRITTEN: Final = SYSTEM_ONLY | {PATIENCE_MS, b"expect"}
-# Not passed on either where workspaces hold keys.
+# Also dropped when workspaces have API keys.
 REWRITTEN_WITH_KEYS: Final = REWRITTEN | {CALLER_KEY, WORKSPACE}
--- a/src/cedarchute/platform/keys.py
+++ b/src/cedarchute/platform/keys.py
@@ -1,13 +1,13 @@
-"""Where the platform keeps what it says, in its store."""
+"""Keys and key prefixes in the platform's store."""
 
 from __future__ import annotations
 
 from typing import Final
 
 CONFIGURATION: Final = "op/config"
-# One entry for each start of a target.
+# One entry for each target incarnation.
 TARGETS: Final = "servers/"
-# An operator asks that the box named behind it be emptied.
+# Followed by the name of a box that an operator wants retired.
 RETIRE: Final = "op/retire/"
-# What we answer to that.
+# Followed by the name of a box; holds the progress of its retirement.
 RETIRE_STATUS: Final = "status/retire/"
--- a/src/cedarchute/platform/retirements.py
+++ b/src/cedarchute/platform/retirements.py
@@ -1,4 +1,4 @@
-"""Boxes that an operator wants emptied, and what we tell of it."""
+"""Tracks operators' requests to retire boxes and reports progress."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Retirements:
-    """Follows the operator's requests; the platform removes a box once completed."""
+    """Open retirement requests; the platform removes a box once completed."""
 
     def __init__(self, store: StoreClient) -> None:
         self.store = store
@@ -23,29 +23,29 @@
         self.started: set[str] = set()
 
     def put(self, key: str, value: str) -> None:
-        """Take in that a box is to be emptied."""
+        """Record a request to retire a box."""
         log.info("Box is to be emptied.", extra={"box": key})
         self.asked.add(key)
 
     def remove(self, key: str) -> None:
-        """Take in that nobody asks for it any more."""
+        """Remove a withdrawn request."""
         self.asked.discard(key)
         self.started.discard(key)
 
     def note_store_back(self) -> None:
-        """Nothing of it lapses."""
+        """Do nothing: retirement requests do not expire."""
 
     def tell_started(self, box: str) -> None:
-        """Tell the operator once that it is under way."""
+        """Report once that the retirement of `box` is in progress."""
         if box not in self.started:
             self.tell(box, "in_progress")
             self.started.add(box)
 
     def tell_completed(self, box: str) -> None:
-        """Tell the operator that the box holds nothing that is not elsewhere."""
+        """Report that everything the box holds is also stored elsewhere."""
         self.tell(box, "completed")
 
     def tell(self, box: str, state: str) -> None:
-        """Write the state of a request down."""
+        """Write the state of a retirement to the store."""
         self.store.put(RETIRE_STATUS + box, json.dumps({"State": state}))
         log.info("Retirement told.", extra={"box": box, "state": state})
