--- a/src/cedarchute/platform/call_headers.py
+++ b/src/cedarchute/platform/call_headers.py
@@ -21,8 +21,8 @@
 ANSWER_ID = names.CALL_ID
 KEY_SCHEME: Final = b"token"
 # Header numbers must fit into a signed 64-bit integer.
-MOST = 2**63 - 1
-MOST_DIGITS = len(str(MOST))
+MAX_NUMBER = 2**63 - 1
+MAX_DIGITS = len(str(MAX_NUMBER))
 
 
 def _read_number(headers: Headers, name: bytes) -> int | None:
@@ -32,22 +32,22 @@
     return _parse_number(text, name)
 
 
-def _read_aim(headers: Headers) -> float | None:
+def _read_soft_deadline(headers: Headers) -> float | None:
     # Only a scheduling hint, so an invalid value is ignored.
-    text = headers.get_text(names.PROGRAM_AIM_MS).strip()
+    text = headers.get_text(names.PROGRAM_SOFT_DEADLINE_MS).strip()
     try:
         return max(0.0, float(text) / 1000) if text else None
     except ValueError:
-        log.info("A time that a program should take is no number.")
+        log.info("Soft deadline of a program is not a number; ignored.")
         return None
 
 
 def _parse_number(text: str, name: bytes) -> int:
     # str.isdigit() also accepts non-ASCII digits.
-    if not (text.isascii() and text.isdigit()) or len(text) > MOST_DIGITS:
+    if not (text.isascii() and text.isdigit()) or len(text) > MAX_DIGITS:
         raise RequestError(400, f"header {name.decode()} is not a whole number")
     number = int(text)
-    if number > MOST:
+    if number > MAX_NUMBER:
         raise RequestError(400, f"header {name.decode()} is too large")
     return number
 
@@ -66,15 +66,15 @@
         raise RequestError(400, "header attempt-id is missing")
     patience = _read_number(headers, names.PATIENCE_MS)
     budget = _read_number(headers, names.BUDGET)
-    _, _, most = headers.get_text(names.TOKENS).partition(",")
-    if budget is not None and not most.strip():
+    _, _, max_output = headers.get_text(names.TOKENS).partition(",")
+    if budget is not None and not max_output.strip():
         raise RequestError(400, "header token-count does not say the most tokens out")
     terms = ProgramContext(
         program=headers.get_text(names.PROGRAM),
         budget=budget,
         previous_turn=headers.get_text(names.PREVIOUS_TURN),
-        max_tokens=_parse_number(most.strip() or "0", names.TOKENS),
-        soft_deadline_seconds=_read_aim(headers),
+        max_tokens=_parse_number(max_output.strip() or "0", names.TOKENS),
+        soft_deadline_seconds=_read_soft_deadline(headers),
     )
     seconds = None if patience is None else patience / 1000
     return Call(call_id, seconds, terms)
--- a/src/cedarchute/platform/headers.py
+++ b/src/cedarchute/platform/headers.py
@@ -15,7 +15,7 @@
 RETRY_AFTER: Final = b"retry-after"
 PROGRAM: Final = b"program-id"
 # Soft deadline of the whole program in milliseconds; not enforced.
-PROGRAM_AIM_MS: Final = b"program-deadline-ms"
+PROGRAM_SOFT_DEADLINE_MS: Final = b"program-deadline-ms"
 BUDGET: Final = b"token-budget"
 PREVIOUS_TURN: Final = b"previous-turn"
 # Two numbers: prompt tokens and maximum output tokens.
--- a/src/cedarchute/platform/routing_document.py
+++ b/src/cedarchute/platform/routing_document.py
@@ -24,13 +24,13 @@
 
 
 class DocumentError(Exception):
-    """A document of the platform that cannot be used."""
+    """A configuration or target entry is invalid."""
 
     code = "bad_document"
 
 
 class _Wire(msgspec.Struct, frozen=True, rename="pascal"):
-    """A document whose field names are capitalised on the wire."""
+    """Base of documents whose field names are in Pascal case on the wire."""
 
 
 class _Share(_Wire):
@@ -49,10 +49,10 @@
     service: str | None = None
     split: tuple[_Share, ...] = ()
     max_attempts: int = 1
-    # Whether the system keeps what was said, so that turns bring only what is new.
+    # Whether boxes store the turns, so that callers send only the new ones.
     retained: bool = False
     retention_s: float = 0
-    # Whether calls need no key.
+    # Whether calls are accepted without an API key.
     public: bool = False
 
 
@@ -81,7 +81,7 @@
     name: Annotated[str, msgspec.Meta(min_length=1, pattern="^[!-~]+$")]
     api_keys: tuple[str, ...] = ()
     priority: int = 0
-    # Calls a second of all boxes together; nothing or 0 is no limit.
+    # Calls per second over all boxes; None or 0 means no limit.
     rate_per_s: Annotated[float, msgspec.Meta(ge=0)] | None = None
     burst: Annotated[float, msgspec.Meta(ge=0)] | None = None
 
@@ -91,17 +91,17 @@
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...]
     limits: _Limits
-    # Without the field calls need no key; an empty list takes every key away.
+    # None: calls need no API key. An empty list: every key is rejected.
     tenants: tuple[_Tenant, ...] | None = None
 
 
-# Requests that one target takes at once; an entry that claims more than any machine
-# has would draw all calls.
-MOST_SLOTS: Final = 100_000
+# Concurrent requests of one target. The limit keeps an entry with an inflated number
+# from attracting all calls.
+MAX_SLOTS: Final = 100_000
 # Targets warm up within minutes.
-MOST_COLD_MS: Final = 3_600_000
-# An entry takes some hundred bytes, and every box reads each of them.
-MOST_TARGET_BYTES: Final = 65_536
+MAX_WARMUP_MS: Final = 3_600_000
+# Every box reads each entry; valid ones take some hundred bytes.
+MAX_TARGET_BYTES: Final = 65_536
 
 
 class _Target(_Wire):
@@ -109,9 +109,9 @@
     address: str
     zone: str
     state: Literal["ready", "draining"]
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
-    cold_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MOST_COLD_MS)] = 0
-    # The only name on the wire without a capital: Unix ms of the target's start.
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
+    cold_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_WARMUP_MS)] = 0
+    # Unix ms of the target's start; the only lower-case name on the wire.
     born: Annotated[int, msgspec.Meta(ge=0, le=2**53)] = msgspec.field(
         name="born", default=0
     )
@@ -123,7 +123,7 @@
     Raises
     ------
     DocumentError
-        When it is not one.
+        When the configuration is invalid.
     """
     try:
         document = msgspec.json.decode(text, type=_Configuration)
@@ -195,11 +195,11 @@
     Raises
     ------
     DocumentError
-        When it describes none.
+        When the entry or its id is invalid.
     """
     try:
         check_target_id(target_id)
-        if len(text) > MOST_TARGET_BYTES:
+        if len(text) > MAX_TARGET_BYTES:
             raise ValueError(f"{len(text)} characters are too many")
         document = msgspec.json.decode(text, type=_Target)
         address = parse_target_address(document.address)
@@ -218,13 +218,13 @@
 
 
 def check_target_id(target_id: str) -> None:
-    """Raise ValueError unless an id can stand in a header."""
+    """Raise ValueError unless an id is valid as a header value."""
     if not target_id or not all("!" <= letter <= "~" for letter in target_id):
         raise ValueError("its id is no visible ASCII text")
 
 
 def parse_target_address(text: str) -> Address:
-    """Return the address in `text`; raise ValueError for one that reaches no target."""
+    """Return the address in `text`; raise ValueError unless it is unicast."""
     address = Address.parse(text)
     number = ipaddress.ip_address(address.host.strip("[]"))
     if number.is_unspecified or number.is_multicast:
--- a/src/cedarchute/platform/store_client.py
+++ b/src/cedarchute/platform/store_client.py
@@ -1,9 +1,8 @@
 """A client of the platform's key-value service.
 
 The service speaks HTTP with JSON: ranges in pages, transactions under expected
-revisions, leases and watches that wait. Each value that Cedarchute writes carries
-something that no other writer writes, so a swap whose reply was lost is settled by
-reading back.
+revisions, leases and long-polling watches. Each value that Cedarchute swaps in is
+unique to its writer, so a swap whose reply was lost is resolved by reading back.
 """
 
 from __future__ import annotations
@@ -38,10 +37,9 @@
 CONNECTIONS: Final = 8
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
 
-# A watch is asked again after this long. Each call costs money; the platform lets a
-# watch wait 30 s.
+# Long-poll timeout of a watch. Each call is billed; the platform allows 30 s.
 WATCH_WAIT_SECONDS: Final = 25.0
-# Beyond the wait: the service's own delay on a slow day.
+# Added to the client's read timeout for delays of the service.
 WATCH_GRACE_SECONDS: Final = 1.0
 
 OK: Final = 200
@@ -51,13 +49,13 @@
 
 
 class StoreUnavailableError(Exception):
-    """The store gave no usable answer; nothing is known about the effect."""
+    """The store gave no valid response; the effect of the call is unknown."""
 
     code = "store_unavailable"
 
 
 class HistoryGoneError(StoreUnavailableError):
-    """The store forgot the changes since a revision; all has to be read again."""
+    """The store has compacted the changes; the reader must list again."""
 
     code = "history_gone"
 
@@ -69,13 +67,13 @@
 
 
 def name_call(path: str) -> str:
-    """Return what a call asks for, for counters: a path without its last id."""
+    """Return the operation in a path, without any id, for metric names."""
     return path.split("/")[1].removeprefix("kv-")
 
 
 @contextmanager
 def _understood(path: str) -> Iterator[None]:
-    """Take an answer without the fields that it should have for none."""
+    """Raise StoreUnavailableError when a response lacks required fields."""
     try:
         yield
     except (AttributeError, KeyError, TypeError, ValueError) as error:
@@ -100,7 +98,7 @@
         return self.read(key).entry
 
     def read(self, key: str) -> StoreReading:
-        """Return the entry under `key`, and how far the store has come."""
+        """Return the entry under `key`, and the store's current revision."""
         status, answer = self._call("GET", "/kv-key", {"PrivateKey": key})
         if status != OK:
             return StoreReading(None, 0)
@@ -110,14 +108,14 @@
     def list(self, prefix: str, may_be_old: bool = False) -> StoreListing:
         """Return every entry whose key starts with `prefix`.
 
-        The pages are no snapshot: the revision returned is the oldest of theirs, so
-        that a watch from there sees what changed in any of them.
+        The pages are not one snapshot. The lowest of their revisions is returned, so
+        that a watch from there misses no change.
 
         Parameters
         ----------
         may_be_old : bool
-            Whether the entries may be those of some seconds ago. Such a read costs a
-            tenth, and the store has no limit on their rate.
+            Whether entries may be stale by some seconds. Such a read costs a tenth
+            and is not rate limited.
         """
         entries: list[StoreEntry] = []
         revisions: list[int] = []
@@ -135,9 +133,9 @@
     def swap(self, key: str, value: str, expected: int, lease: int = 0) -> SwapResult:
         """Set `key` to `value` if its version is `expected` (0: no such key).
 
-        A lost reply is settled by reading back: `value` must hold something
-        that no other writer writes, such as an operation id. A write that takes
-        effect late finds its condition broken by the one that was tried after it.
+        A lost reply is resolved by reading back, so `value` must be unique to its
+        writer, for example by an operation id. A delayed write fails its condition
+        once a later attempt has succeeded.
 
         Raises
         ------
@@ -165,7 +163,7 @@
         raise AssertionError("unreachable")
 
     def put(self, key: str, value: str, lease: int = 0) -> None:
-        """Set `key` to `value`, whatever stands there: for keys of one writer."""
+        """Set `key` to `value`, unconditionally; only for keys with a single writer."""
         write = {"PrivateKey": key, "Value": encode_value(value), "Lease": lease}
         self._commit([], [write], [], key)
 
@@ -180,7 +178,7 @@
         return int(answer["Lease"])
 
     def renew_lease(self, lease: int) -> None:
-        """Renew `lease`; raise `LeaseGoneError` when the store forgot it."""
+        """Renew `lease`; raise `LeaseGoneError` when it has expired."""
         status, _ = self._call("POST", f"/kv-keep/{lease}", body={})
         if status == NOT_FOUND:
             raise LeaseGoneError(f"lease {lease} is gone")
@@ -195,7 +193,7 @@
         Raises
         ------
         HistoryGoneError
-            When the store no longer has the changes; the reader lists again.
+            When the store has compacted the changes; the reader must list again.
         """
         while True:
             changes, after = self.wait_changes(prefix, after)
@@ -204,7 +202,7 @@
     def wait_changes(
         self, prefix: str, after: int, seconds: float = WATCH_WAIT_SECONDS
     ) -> tuple[list[StoreChange], int]:
-        """Wait once for changes; return them and the revision to go on from."""
+        """Wait once for changes; return them and the revision to continue from."""
         query = {
             "PathPrefix": prefix,
             "after": str(after),
@@ -231,7 +229,7 @@
         writes: list[dict[str, Any]],
         removed: list[str],
     ) -> tuple[int | None, StoreEntry | None]:
-        """Return the revision of the change, or None and what stands there."""
+        """Return the revision of the change, or None and the current entry."""
         rows = [{"PrivateKey": key, "Revision": expected}]
         return self._commit(rows, writes, removed, key)
 
--- a/src/cedarchute/platform/store_codec.py
+++ b/src/cedarchute/platform/store_codec.py
@@ -1,4 +1,4 @@
-"""How values and items stand in the store's messages."""
+"""Encodes and decodes values and items of the store's messages."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 from cedarchute.platform.store_entry import UNREADABLE, StoreEntry
 
-# The largest configuration that operators write, in bytes; every box keeps a copy of
-# each value, and the smallest have 128 MB.
+# Fits the largest configuration. Every box keeps a copy of each value in memory, and
+# the smallest boxes have 128 MB.
 MOST_VALUE_BYTES: Final = 4_194_304
 
 
 def encode_value(text: str) -> str:
-    """Return a value as the store takes it."""
+    """Return a value in base64, as the store expects it."""
     return base64.b64encode(text.encode()).decode()
 
 
 def decode_value(text: str) -> str:
-    """Return a value, or what stands for one that cannot be read."""
-    # Other writers put any bytes there. One of them, read as an error, ended the task
-    # that follows the store, and with it all news of every other entry.
+    """Return the decoded value, or `UNREADABLE` if it is invalid."""
+    # Other writers may store any bytes. Raising here would end the task that watches
+    # the store, and with it the updates of all other entries.
     try:
         content = base64.b64decode(text, validate=True)
         return UNREADABLE if len(content) > MOST_VALUE_BYTES else content.decode()
@@ -29,7 +29,7 @@
 
 
 def read_entry(item: dict[str, Any]) -> StoreEntry:
-    """Return an item of the store; raise KeyError or ValueError when it is none."""
+    """Return the entry in `item`; raise KeyError or ValueError if it is invalid."""
     return StoreEntry(
         item["PrivateKey"], decode_value(item["Value"]), int(item["Revision"])
     )
--- a/src/cedarchute/platform/store_entry.py
+++ b/src/cedarchute/platform/store_entry.py
@@ -1,4 +1,4 @@
-"""One entry of the platform's key-value service."""
+"""Entries and results of the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from cedarchute.record import Record
 
-# Stands for bytes that are no text, or too many: no document of any kind.
+# Replaces a value that is too long or not UTF-8; it is no valid document.
 UNREADABLE: Final = ""
 
 
@@ -16,7 +16,7 @@
     Attributes
     ----------
     value : str
-        What stands there as text; `UNREADABLE` when it is none.
+        The decoded text, or `UNREADABLE`.
     """
 
     key: str
@@ -25,14 +25,14 @@
 
 
 class StoreReading(Record):
-    """One key as the store said it just then.
+    """The result of reading one key.
 
     Attributes
     ----------
     entry : StoreEntry or None
-        None when nothing stands there.
+        None when the key does not exist.
     revision : int
-        Of the whole store; 0 when it did not say.
+        Revision of the whole store; 0 when unknown.
     """
 
     entry: StoreEntry | None
@@ -47,7 +47,7 @@
 
 
 class StoreChange(Record):
-    """One change seen by a watch; `entry` is None when the key went away."""
+    """One change seen by a watch; `entry` is None when the key was deleted."""
 
     key: str
     entry: StoreEntry | None
@@ -55,7 +55,7 @@
 
 
 class SwapResult(Record):
-    """The result of a compare-and-swap, with what stands under the key now."""
+    """The result of a compare-and-swap, with the current entry of the key."""
 
     won: bool
     current: StoreEntry | None
