--- a/src/cedarchute/settings/box_settings.py
+++ b/src/cedarchute/settings/box_settings.py
@@ -1,4 +1,4 @@
-"""The checked settings of one box."""
+"""Settings models of one box."""
 
 from __future__ import annotations
 
@@ -11,11 +11,10 @@
 
 
 class BoxSection(Message):
-    """``[box]``: who this box is and where it listens.
+    """``[box]``: identity and addresses of this box.
 
-    Others are told `caller_address` and `peer_address`. The box listens there too,
-    unless `caller_listen` or `peer_listen` say otherwise, as behind a translation
-    of addresses.
+    `caller_address` and `peer_address` are advertised to others. The box also listens
+    there unless `caller_listen` or `peer_listen` differ, for example behind NAT.
     """
 
     name: Name
@@ -38,7 +37,7 @@
 
 
 class MembershipSection(Message):
-    """``[membership]``: leases, heartbeats and when a box counts as gone."""
+    """``[membership]``: leases, heartbeats and failure detection."""
 
     lease_seconds: Seconds = 15.0
     heartbeat_seconds: Seconds = 1.0
@@ -56,7 +55,7 @@
 
 
 class ServingSection(Message):
-    """``[serving]``: bounds of what one box takes on."""
+    """``[serving]``: limits and intervals of serving calls."""
 
     entry_keep_seconds: Seconds = 10.0
     coalesce_seconds: float = Field(default=0.03, ge=0, le=0.048)
--- a/src/cedarchute/settings/fields.py
+++ b/src/cedarchute/settings/fields.py
@@ -1,4 +1,4 @@
-"""Field types that the models of both kinds of file share."""
+"""Field types of the settings models."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def read_address(value: object) -> Address:
-    """Return an address given as text or as an address."""
+    """Return `value` as an address, parsed if it is text."""
     if isinstance(value, Address):
         return value
     return Address.parse(str(value))
--- a/src/cedarchute/settings/loader.py
+++ b/src/cedarchute/settings/loader.py
@@ -58,7 +58,7 @@
 
 
 def validate_settings(settings: BoxSettings) -> list[str]:
-    """Return the faults that show only when keys are seen together."""
+    """Return the faults that involve more than the type of one key."""
     faults = []
     box = settings.box
     if box.caller_address == box.peer_address:
--- a/src/cedarchute/settings/node_settings.py
+++ b/src/cedarchute/settings/node_settings.py
@@ -1,4 +1,4 @@
-"""The checked settings of a box that serves or holds on the users' platform."""
+"""Settings of an entry box or a holder on the users' platform."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class NodeSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[box]``: who this box is, and where others reach it.
+    """``[box]``: identity and address of this box.
 
     Attributes
     ----------
     peer_port : int
-        Where other boxes connect, on `ip`.
+        Port on `ip` for connections of other boxes.
     """
 
     role: Role
@@ -31,13 +31,13 @@
 
 
 class ListenSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[listen]``: what a box serves to others than boxes.
+    """``[listen]``: listeners other than the one for boxes.
 
     Attributes
     ----------
     metrics : str
-        Where counters and histograms are served besides the address for boxes; the
-        only key that a holder has too.
+        Additional address that serves metrics; the only key that also applies to
+        holders.
     """
 
     callers: str = ""
@@ -48,27 +48,28 @@
 
 
 class StoreSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[platform]``: the platform's store, and boxes to ask without it."""
+    """``[platform]``: the platform's store and fallback boxes."""
 
     store: str
     seeds: str = ""
 
 
 class LossesSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[losses]``: what may be lost at once."""
+    """``[losses]``: number of simultaneous losses to tolerate."""
 
     holders: int = 1
 
 
 class ConfigurationSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[configuration]``: within which changes have to be known at every box.
+    """``[configuration]``: time limits for applying changes at every box.
 
     Attributes
     ----------
     apply_ms : float
-        From the store's confirmation of a configuration until it is in force.
+        From the store's confirmation of a configuration until it is active.
     leave_ms : float
-        From its confirmation that a target leaves until nothing new goes there.
+        From the store's confirmation that a target is draining until it receives
+        no new calls.
     """
 
     apply_ms: float = 2000.0
@@ -76,19 +77,19 @@
 
 
 class KeysSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[keys]``: what is promised of keys that operators take away.
+    """``[keys]``: time limit for revoking API keys.
 
     Attributes
     ----------
     revoke_ms : float
-        Within which they are of no use at any box; 0 promises nothing.
+        Time until every box rejects a revoked key; 0 sets no limit.
     """
 
     revoke_ms: float = 0.0
 
 
 class QuotasSection(QuotaTolerance, frozen=True, forbid_unknown_fields=True):
-    """``[quotas]``: by how much limits of workspaces may be exceeded."""
+    """``[quotas]``: tolerance of workspace limits."""
 
 
 class StopSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -111,17 +112,17 @@
 
     @property
     def known_seconds(self) -> float:
-        """Within which any change in the store has to be known here."""
+        """Time limit for learning of any change in the store."""
         return min(self.configuration.apply_ms, self.configuration.leave_ms) / 1000
 
     @property
     def peers(self) -> Address:
-        """Where other boxes connect."""
+        """The address for connections of other boxes."""
         return Address(self.box.ip, self.box.peer_port)
 
     @property
     def seeds(self) -> list[Address]:
-        """Boxes to ask for the configuration when the store does not answer."""
+        """Boxes that provide the configuration when the store is unavailable."""
         words = (word.strip() for word in self.platform.seeds.split(","))
         return [Address.parse(word) for word in words if word]
 
@@ -155,7 +156,7 @@
 
 
 def find_faults(settings: NodeSettings) -> list[str]:
-    """Return the faults that show only when keys are seen together."""
+    """Return the faults that involve more than the type of one key."""
     faults = []
     addresses = {
         "[platform] store": settings.platform.store,
