--- a/src/cedarchute/platform/box_list.py
+++ b/src/cedarchute/platform/box_list.py
@@ -81,5 +81,5 @@
         self.view.set_platform_leaving(leaving)
         self.book.platform_draining = leaving
         if self.box in leaving:
-            log.info("The platform says that this box is leaving.")
+            log.info("The platform lists this box as leaving.")
             self.on_leaving()
--- a/src/cedarchute/platform/call_headers.py
+++ b/src/cedarchute/platform/call_headers.py
@@ -64,7 +64,7 @@
     call_id = headers.get_text(names.CALL_ID)
     if not call_id:
         raise RequestError(400, "header attempt-id is missing")
-    patience = _read_number(headers, names.PATIENCE_MS)
+    timeout_ms = _read_number(headers, names.CALLER_TIMEOUT_MS)
     budget = _read_number(headers, names.BUDGET)
     _, _, max_output = headers.get_text(names.TOKENS).partition(",")
     if budget is not None and not max_output.strip():
@@ -76,7 +76,7 @@
         max_tokens=_parse_number(max_output.strip() or "0", names.TOKENS),
         soft_deadline_seconds=_read_soft_deadline(headers),
     )
-    seconds = None if patience is None else patience / 1000
+    seconds = None if timeout_ms is None else timeout_ms / 1000
     return Call(call_id, seconds, terms)
 
 
--- a/src/cedarchute/platform/directory_app.py
+++ b/src/cedarchute/platform/directory_app.py
@@ -13,7 +13,7 @@
 
 # How long callers may cache a response. Some exceed it, by up to three times; a box
 # that stops must keep serving for that time. A shorter TTL causes more lookups.
-KEEP_SECONDS: Final = 1
+RESPONSE_TTL_SECONDS: Final = 1
 
 
 class DirectoryApp:
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    find_unfit : callable
+    find_excluded : callable
         Returns an address to leave out of responses, or an empty string.
     """
 
@@ -32,14 +32,14 @@
         is_behind: Callable[[], bool],
         failure_domain: str,
         region: str,
-        find_unfit: Callable[[], str] = lambda: "",
+        find_excluded: Callable[[], str] = lambda: "",
     ) -> None:
         self.directory = directory
         self.is_ready = is_ready
         self.is_behind = is_behind
         self.failure_domain = failure_domain
         self.region = region
-        self.find_unfit = find_unfit
+        self.find_excluded = find_excluded
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
@@ -71,9 +71,9 @@
         addresses = self.directory.list_caller_addresses(
             domain, region, self.is_behind()
         )
-        unfit = self.find_unfit()
-        addresses = [a for a in addresses if a != unfit] or addresses
+        excluded = self.find_excluded()
+        addresses = [a for a in addresses if a != excluded] or addresses
         if not addresses:
             return "503 Service Unavailable", b""
-        document = {"Addresses": addresses, "TtlS": KEEP_SECONDS}
+        document = {"Addresses": addresses, "TtlS": RESPONSE_TTL_SECONDS}
         return "200 OK", json.dumps(document).encode()
--- a/src/cedarchute/platform/followers.py
+++ b/src/cedarchute/platform/followers.py
@@ -40,7 +40,7 @@
 
     def remove(self, key: str) -> None:
         """Keep the active configuration."""
-        log.warning("Configuration removed from the store; the last one stays.")
+        log.warning("Configuration removed from the store; the active one stays.")
 
     def note_store_back(self) -> None:
         """Do nothing: the configuration does not expire."""
--- a/src/cedarchute/platform/headers.py
+++ b/src/cedarchute/platform/headers.py
@@ -7,7 +7,7 @@
 # Identifies one attempt of a caller. Targets echo it in their response.
 CALL_ID: Final = b"attempt-id"
 # Remaining caller timeout in milliseconds, not a point in time.
-PATIENCE_MS: Final = b"deadline-ms"
+CALLER_TIMEOUT_MS: Final = b"deadline-ms"
 # The target incarnation that may run the request; any other must reject it.
 EXPECTED_TARGET: Final = b"expect-instance"
 # Set by a target that rejected a request without running it.
@@ -41,6 +41,6 @@
     )
 )
 # Replaced on each attempt.
-REWRITTEN: Final = SYSTEM_ONLY | {PATIENCE_MS, b"expect"}
+REWRITTEN: Final = SYSTEM_ONLY | {CALLER_TIMEOUT_MS, b"expect"}
 # Also dropped when workspaces have API keys.
 REWRITTEN_WITH_KEYS: Final = REWRITTEN | {CALLER_KEY, WORKSPACE}
--- a/src/cedarchute/platform/retirements.py
+++ b/src/cedarchute/platform/retirements.py
@@ -24,7 +24,7 @@
 
     def put(self, key: str, value: str) -> None:
         """Record a request to retire a box."""
-        log.info("Box is to be emptied.", extra={"box": key})
+        log.info("Operator asked to retire a box.", extra={"box": key})
         self.asked.add(key)
 
     def remove(self, key: str) -> None:
@@ -48,4 +48,6 @@
     def tell(self, box: str, state: str) -> None:
         """Write the state of a retirement to the store."""
         self.store.put(RETIRE_STATUS + box, json.dumps({"State": state}))
-        log.info("Retirement told.", extra={"box": box, "state": state})
+        log.info(
+            "Retirement state written to the store.", extra={"box": box, "state": state}
+        )
--- a/src/cedarchute/platform/store_client.py
+++ b/src/cedarchute/platform/store_client.py
@@ -72,7 +72,7 @@
 
 
 @contextmanager
-def _understood(path: str) -> Iterator[None]:
+def _reject_malformed(path: str) -> Iterator[None]:
     """Raise StoreUnavailableError when a response lacks required fields."""
     try:
         yield
@@ -102,7 +102,7 @@
         status, answer = self._call("GET", "/kv-key", {"PrivateKey": key})
         if status != OK:
             return StoreReading(None, 0)
-        with _understood("/kv-key"):
+        with _reject_malformed("/kv-key"):
             return StoreReading(read_entry(answer), int(answer["StoreRevision"]))
 
     def list(self, prefix: str, may_be_old: bool = False) -> StoreListing:
@@ -123,7 +123,7 @@
         query = {"PathPrefix": prefix, **options}
         while True:
             _, answer = self._call("GET", "/kv-range", query)
-            with _understood("/kv-range"):
+            with _reject_malformed("/kv-range"):
                 revisions.append(int(answer["StoreRevision"]))
                 entries.extend(read_entry(item) for item in answer["items"])
                 if not answer.get("HasMore") or not answer["items"]:
@@ -212,7 +212,7 @@
         status, answer = self._call("GET", "/kv-watch", query, timeout=timeout)
         if status == HISTORY_GONE:
             raise HistoryGoneError(f"changes since {after} are gone")
-        with _understood("/kv-watch"):
+        with _reject_malformed("/kv-watch"):
             changes = [self._read_change(event) for event in answer["events"]]
             return changes, max(after, int(answer["StoreRevision"]))
 
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against its stand-in."""
+"""Tests the store client against a fake store."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_target_entries.py
+++ b/tests/platform/test_target_entries.py
@@ -1,4 +1,4 @@
-"""Entries of targets as other writers may leave them."""
+"""Tests that invalid target entries of other writers are rejected."""
 
 from __future__ import annotations
 
