--- a/tests/platform/test_target_entries.py
+++ b/tests/platform/test_target_entries.py
@@ -1,4 +1,4 @@
-"""Tests that invalid target entries of other writers are rejected."""
+"""Tests reading target entries, including invalid ones of other writers."""
 
 from __future__ import annotations
 
