--- a/src/cedarchute/platform/call_headers.py
+++ b/src/cedarchute/platform/call_headers.py
@@ -1,4 +1,4 @@
-"""Decodes a caller's headers, and writes those of a request to a target."""
+"""Decodes callers' request headers and builds those of requests to targets."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 ANSWER_ID = names.CALL_ID
 KEY_SCHEME: Final = b"token"
-# Numbers of headers fit into 64 bits with a sign.
-MOST = 2**63 - 1
-MOST_DIGITS = len(str(MOST))
+# Header numbers must fit into a signed 64-bit integer.
+MAX_NUMBER = 2**63 - 1
+MAX_DIGITS = len(str(MAX_NUMBER))
 
 
 def _read_number(headers: Headers, name: bytes) -> int | None:
@@ -32,63 +32,63 @@
     return _parse_number(text, name)
 
 
-def _read_aim(headers: Headers) -> float | None:
-    # A hint for decisions only: what is no number counts as not given.
-    text = headers.get_text(names.PROGRAM_AIM_MS).strip()
+def _read_soft_deadline(headers: Headers) -> float | None:
+    # Only a scheduling hint, so an invalid value is ignored.
+    text = headers.get_text(names.PROGRAM_SOFT_DEADLINE_MS).strip()
     try:
         return max(0.0, float(text) / 1000) if text else None
     except ValueError:
-        log.info("A time that a program should take is no number.")
+        log.info("Soft deadline of a program is not a number; ignored.")
         return None
 
 
 def _parse_number(text: str, name: bytes) -> int:
-    # Digits of other scripts count as digits too, but not as numbers.
-    if not (text.isascii() and text.isdigit()) or len(text) > MOST_DIGITS:
+    # str.isdigit() also accepts non-ASCII digits.
+    if not (text.isascii() and text.isdigit()) or len(text) > MAX_DIGITS:
         raise RequestError(400, f"header {name.decode()} is not a whole number")
     number = int(text)
-    if number > MOST:
+    if number > MAX_NUMBER:
         raise RequestError(400, f"header {name.decode()} is too large")
     return number
 
 
 def read_call(request: CallerRequest) -> Call:
-    """Return what a request asks for.
+    """Return the call described by the headers of a request.
 
     Raises
     ------
     RequestError
-        When a header does not hold what it should.
+        When a header is missing or invalid.
     """
     headers = request.headers
     call_id = headers.get_text(names.CALL_ID)
     if not call_id:
         raise RequestError(400, "header attempt-id is missing")
-    patience = _read_number(headers, names.PATIENCE_MS)
+    timeout_ms = _read_number(headers, names.CALLER_TIMEOUT_MS)
     budget = _read_number(headers, names.BUDGET)
-    _, _, most = headers.get_text(names.TOKENS).partition(",")
-    if budget is not None and not most.strip():
+    _, _, max_output = headers.get_text(names.TOKENS).partition(",")
+    if budget is not None and not max_output.strip():
         raise RequestError(400, "header token-count does not say the most tokens out")
     terms = ProgramContext(
         program=headers.get_text(names.PROGRAM),
         budget=budget,
         previous_turn=headers.get_text(names.PREVIOUS_TURN),
-        max_tokens=_parse_number(most.strip() or "0", names.TOKENS),
-        soft_deadline_seconds=_read_aim(headers),
+        max_tokens=_parse_number(max_output.strip() or "0", names.TOKENS),
+        soft_deadline_seconds=_read_soft_deadline(headers),
     )
-    seconds = None if patience is None else patience / 1000
+    seconds = None if timeout_ms is None else timeout_ms / 1000
     return Call(call_id, seconds, terms)
 
 
 def read_program(request: CallerRequest) -> str:
-    """Return the program that a request names, if any; for logs."""
+    """Return the program id of a request for logs, empty if there is none."""
     return request.headers.get_text(names.PROGRAM)
 
 
 def read_key(request: CallerRequest) -> bytes | None:
-    """Return the key that a request carries, None when that is not clear.
+    """Return the API key of a request, or None if missing or ambiguous.
 
-    Two headers, another scheme or more than one word name no key.
+    Repeated headers, other schemes and malformed values yield None.
     """
     fields = request.headers.get_all(names.CALLER_KEY)
     if len(fields) != 1:
@@ -107,8 +107,8 @@
 ) -> Headers:
     """Return the headers of a request to a target.
 
-    Where workspaces hold keys, the target learns of the caller's workspace and not of
-    its key, and what the caller says of its workspace counts nothing.
+    When workspaces have API keys, the target receives the authenticated workspace
+    instead of the key, and the caller's own workspace header is dropped.
     """
     rewritten = (
         names.REWRITTEN if caller_identity is None else names.REWRITTEN_WITH_KEYS
@@ -125,7 +125,7 @@
 
 
 def write_refusal_headers(call_id: str, retry_after_seconds: float | None) -> Headers:
-    """Return the headers of an answer of our own."""
+    """Return the headers of a rejection generated by this box."""
     fields = Headers(((b"Attempt-Id", call_id.encode("latin-1")),))
     if retry_after_seconds is None:
         return fields
@@ -133,5 +133,5 @@
 
 
 def says_not_run(answer: TargetAnswer) -> bool:
-    """Tell whether a target's answer says that it did not run the request."""
+    """Return whether a response says that the target did not run the request."""
     return answer.status == 421 or answer.headers.get(names.NOT_RUN) is not None
--- a/tests/platform/test_target_entries.py
+++ b/tests/platform/test_target_entries.py
@@ -1,4 +1,4 @@
-"""Entries of targets as other writers may leave them."""
+"""Tests reading target entries, including invalid ones of other writers."""
 
 from __future__ import annotations
 
