--- a/tests/stateful/test_programs_machine.py
+++ b/tests/stateful/test_programs_machine.py
@@ -211,7 +211,7 @@
         for program, order in self.told_order.items():
             home = self.world.find_home(program)
             assert home is not None, "a program was lost"
-            found = program_registry.home.find(program)
+            found = home.home.find(program)
             kept = [key for key in found.calls if key in order]
             assert kept == order, "history lost or out of order"
             assert found.remaining_tokens >= 0
@@ -223,7 +223,7 @@
         self.nothing_ran_twice()
         for program in self.told_order:
             home = self.world.find_home(program)
-            program_registry.home.end(program_registry.home.find(program), "test over")
+            home.home.end(home.home.find(program), "test over")
         for _ in range(40):
             if not self.world.engines.held:
                 break
